--- a/internal/control/catalog/catalog.go
+++ b/internal/control/catalog/catalog.go
@@ -1,6 +1,7 @@
-// Package catalog follows a directory: a platform that accepts the routing rules by
-// itself and lists the VMs as they are. It puts each newer generation of the rules
-// in force and passes each change of the servers on.
+// Package catalog replicates the collections of a service directory to one gateway.
+// The directory is a platform that accepts routing rules by itself and lists the VMs
+// without delay. The package activates each newer generation of the rules
+// and reports each change of the servers.
 //
 // # Usage
 //
@@ -12,22 +13,24 @@
 //
 // # Freshness
 //
-// A few gateways, the readers, watch the directory and pass what they hear on to
-// their peers, which pass it on in turn. Every gateway tells its peers up to which
-// revision it knows a collection, and how long ago it was sure that nothing was
-// missing. From that each one keeps its own age: one whose age exceeds Config.Stale
-// reads the directory itself, whatever has become of the readers.
+// A few gateways, the readers, watch the directory and forward what they receive to
+// their peers, which forward it in turn. Every gateway also advertises to its peers
+// the revision of each collection that it holds, and how long ago that revision was
+// known to be the newest. From these advertisements each gateway computes the age of
+// its own copy. A gateway whose copy is older than Config.Stale reads the directory
+// itself, even if every reader has failed.
 //
-// A watch may fall silent without an error, and then neither its connection nor
-// the directory shows it. So no watch waits longer than Config.Wait, and one that
-// is not answered in that time is given up. When the directory has lost the changes
-// since the known revision, the whole collection is read. Rules are taken only if
-// their generation is higher than the one in force, so that they never revert.
+// A watch may stop delivering changes without an error that its connection or the
+// directory would report. Therefore no watch waits longer than Config.Wait, and one
+// that is not answered in that time is canceled. When the directory has discarded the
+// changes since the known revision, a snapshot of the collection is read. Rules are
+// accepted only if their generation is higher than the active one, so that they never
+// revert.
 //
 // # Outages
 //
-// While the directory does not answer, everything known stays in use. The decision
-// about entries that are missing afterwards is in Core, which performs no I/O.
+// While the directory does not respond, the last known state stays in use. Core
+// decides about entries that are missing after the outage; it performs no I/O.
 package catalog
 
 import (
@@ -48,62 +51,67 @@
 )
 
 const (
-	// defaultWait is how long one watch waits.
+	// defaultWait is the default duration of one watch.
 	defaultWait = 1200 * time.Millisecond
-	// defaultStale is the age from which a gateway reads for itself.
+	// defaultStale is the default age from which a gateway reads the directory itself.
 	defaultStale = 1400 * time.Millisecond
-	// staleJitter is added at random, so that gateways that lost their readers do
-	// not all read at once.
+	// staleJitter is the upper bound of the random time added to Config.Stale, so that
+	// gateways that have lost their readers do not all read the directory at once.
 	staleJitter = 250 * time.Millisecond
-	// maxSleep bounds the time between two looks at the age.
+	// maxSleep bounds the time between two checks of the age.
 	maxSleep = 200 * time.Millisecond
-	// confirmInterval is the least time by which a peer's word that nothing has
-	// changed must be newer to be passed on.
+	// confirmInterval is the least amount by which the confirmation of an unchanged
+	// revision must be newer than the known one to be forwarded.
 	confirmInterval = 200 * time.Millisecond
-	// askInterval is the least time between two questions to peers for a collection.
-	askInterval = 300 * time.Millisecond
-	// maxNews is how many changed and removed VMs one update passes on at most.
-	maxNews = 512
-	// expireInterval is the time between checks of entries that are missing.
+	// requestInterval is the minimum time between two requests to peers for a snapshot
+	// of one collection.
+	requestInterval = 300 * time.Millisecond
+	// maxForwarded is the maximum number of changed and removed VMs that one forwarded
+	// update contains.
+	maxForwarded = 512
+	// expireInterval is the time between checks for missing entries to remove.
 	expireInterval = 100 * time.Millisecond
-	// firstPause and maxPause bound the pause after a failed call.
-	firstPause = 50 * time.Millisecond
-	maxPause   = 800 * time.Millisecond
+	// minBackoff and maxBackoff bound the delay after a failed call.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 800 * time.Millisecond
 )
 
-// Config configures a Catalog. Its functions must not block, nor call the Catalog.
+// Config configures a Catalog. Its functions must neither block nor call the Catalog.
 type Config struct {
-	// Directory is what is followed.
+	// Directory is the service directory.
 	Directory mustardsaddle.Directory
-	// InForce takes each new table, in the order of generations.
+	// InForce is called with each new rule table, in the order of generations.
 	InForce func(*rule.Table)
-	// Servers takes the servers of a service whenever they change.
+	// Servers is called with all servers of a service whenever one of them changes.
 	Servers func(now time.Time, service string, servers []mustardsaddle.Server)
-	// Reader reports whether this gateway reads a collection for others; nil means
-	// that it does.
+	// Reader reports whether this gateway watches a collection on behalf of its peers;
+	// nil means that it does.
 	Reader func(mustardsaddle.Collection) bool
-	// Spread passes an update on to all peers but the one that it came from, which
-	// is empty for what this gateway has read; nil means that there are no peers.
+	// Spread forwards an update to all peers except the one that sent it; from is
+	// empty for an update that this gateway read from the directory. A nil Spread
+	// means that there are no peers.
 	Spread func(from string, c mustardsaddle.Collection, u mustardsaddle.Update)
-	// Stale is the age from which this gateway reads for itself; 0 means 1.4 s.
+	// Stale is the age from which this gateway reads the directory itself; 0 means 1.4
+	// s.
 	Stale time.Duration
-	// Wait is how long one watch waits; 0 means 1.2 s.
+	// Wait is the maximum duration of one watch; 0 means 1.2 s.
 	Wait time.Duration
-	// Core configures what is believed after an outage.
+	// Core configures the handling of entries that are missing after an outage.
 	Core CoreConfig
-	// Logger takes the log events.
+	// Logger receives the log events.
 	Logger zerolog.Logger
 	// Seed seeds the jitter.
 	Seed uint64
 }
 
-// followed are the collections that a Catalog follows.
+// followed lists the collections that a Catalog replicates.
 var followed = [...]mustardsaddle.Collection{mustardsaddle.RulesCollection, mustardsaddle.ServersCollection} //nolint:gochecknoglobals // a table
 
-// Catalog follows a directory for one gateway. It is safe for concurrent use.
+// Catalog replicates the collections of a directory to one gateway. It is safe for
+// concurrent use.
 type Catalog struct {
-	cfg   Config
-	pause store.Backoff
+	cfg     Config
+	backoff store.Backoff
 
 	mu      sync.Mutex
 	rng     *rand.Rand
@@ -113,18 +121,18 @@
 	known   [len(followed)]progress
 }
 
-// progress is how far one collection is known.
+// progress is the replication state of one collection.
 type progress struct {
 	revision int64
-	// lost is true when the directory has lost the changes since the revision.
-	lost bool
-	// fresh is when nothing was missing.
-	fresh time.Time
-	// asked is when a peer was last asked for the collection.
-	asked time.Time
+	// historyLost is true if the directory has discarded the changes since revision.
+	historyLost bool
+	// freshAt is the latest time at which the collection was known to be up to date.
+	freshAt time.Time
+	// requestedAt is when a peer was last asked for a snapshot of the collection.
+	requestedAt time.Time
 }
 
-// New returns a Catalog that knows nothing yet.
+// New returns a Catalog without data.
 func New(cfg Config) *Catalog {
 	cfg.Wait = cmp.Or(cfg.Wait, defaultWait)
 	cfg.Stale = cmp.Or(cfg.Stale, defaultStale)
@@ -136,25 +144,25 @@
 	}
 	return &Catalog{
 		cfg:     cfg,
-		pause:   store.Backoff{Base: firstPause, Max: maxPause},
+		backoff: store.Backoff{Base: minBackoff, Max: maxBackoff},
 		rng:     rand.New(rand.NewPCG(cfg.Seed, 3)),
 		table:   rule.Compile(rule.File{}),
 		servers: NewCore(cfg.Core),
 	}
 }
 
-// Run follows the directory until the context ends, then closes done.
+// Run replicates the directory until the context ends, then closes done.
 func (c *Catalog) Run(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
-	parts := []func(context.Context){c.expire}
-	for _, which := range followed {
-		parts = append(parts, func(ctx context.Context) { c.follow(ctx, which) })
+	loops := []func(context.Context){c.expire}
+	for _, collection := range followed {
+		loops = append(loops, func(ctx context.Context) { c.follow(ctx, collection) })
 	}
-	store.RunAll(ctx, parts...)
+	store.RunAll(ctx, loops...)
 }
 
-// Snapshot returns the text and the generation of the rules in force, 0 before
-// there are any.
+// Snapshot returns the text and the generation of the active rules; the generation is
+// 0 before there are any.
 func (c *Catalog) Snapshot() (text string, generation int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,27 +186,29 @@
 // follower keeps one collection up to date.
 type follower struct {
 	*Catalog
-	which mustardsaddle.Collection
-	// failures counts failed calls in a row.
+	collection mustardsaddle.Collection
+	// failures counts consecutive failed calls.
 	failures int
-	// losses counts lost histories since changes were last read.
-	losses int
+	// historyLosses counts the times the directory had discarded its history since
+	// changes were last read.
+	historyLosses int
 }
 
 // follow keeps one collection up to date until the context ends.
-func (c *Catalog) follow(ctx context.Context, which mustardsaddle.Collection) {
-	f := &follower{Catalog: c, which: which}
+func (c *Catalog) follow(ctx context.Context, collection mustardsaddle.Collection) {
+	f := &follower{Catalog: c, collection: collection}
 	for ctx.Err() == nil {
-		action, pause, revision := c.plan(time.Now(), which)
+		action, pause, revision := c.nextAction(time.Now(), collection)
 		if action == Watch && f.failures > 0 {
-			// A watch shows too late that the directory is back.
+			// A watch returns only after a change or its full wait, so it would detect
+			// the recovery of the directory too late.
 			action = ReadChanges
 		}
 		if action == Sleep {
 			store.Sleep(ctx, min(pause, maxSleep))
 			continue
 		}
-		err := c.act(ctx, which, action, revision)
+		err := c.read(ctx, collection, action, revision)
 		switch {
 		case ctx.Err() != nil:
 			return
@@ -210,179 +220,185 @@
 	}
 }
 
-// succeeded takes a call that was answered.
+// succeeded records a successful call and resets the failure counters.
 func (f *follower) succeeded(action Action) {
 	if f.failures > 0 {
-		event.Info(f.cfg.Logger, event.StoreBack).Stringer("Collection", f.which).Int("Failures", f.failures).Send()
+		event.Info(f.cfg.Logger, event.StoreBack).Stringer("Collection", f.collection).Int("Failures", f.failures).Send()
 	}
 	f.failures = 0
 	if action != ReadWhole {
-		f.losses = 0
+		f.historyLosses = 0
 	}
 }
 
-// failed takes a call that was not answered, and waits before the next one. After
-// the first loss of the history the whole is read at once.
+// failed records a failed call and waits before the next one. After the first loss of
+// the history the snapshot is read without delay.
 func (f *follower) failed(ctx context.Context, action Action, err error) {
 	f.failures++
 	if f.failures == 1 {
-		event.Warn(f.cfg.Logger, event.StoreFailed).Stringer("Collection", f.which).Int("Code", int(code.Of(err))).Err(err).Send()
+		event.Warn(f.cfg.Logger, event.StoreFailed).Stringer("Collection", f.collection).Int("Code", int(code.Of(err))).Err(err).Send()
 	}
 	if code.Of(err) == code.StoreHistoryLost && action != ReadWhole {
-		f.forget(f.which)
-		f.losses++
-		if f.losses == 1 {
+		f.requireSnapshot(f.collection)
+		f.historyLosses++
+		if f.historyLosses == 1 {
 			return
 		}
 	}
-	store.Sleep(ctx, f.delay(max(f.failures, f.losses)))
+	store.Sleep(ctx, f.backoffDelay(max(f.failures, f.historyLosses)))
 }
 
-// plan returns the next action about a collection, and the revision to go on from.
-func (c *Catalog) plan(now time.Time, which mustardsaddle.Collection) (Action, time.Duration, int64) {
-	reader := c.cfg.Reader(which)
+// nextAction returns the next action on a collection, the duration of a sleep, and the
+// revision to continue from.
+func (c *Catalog) nextAction(now time.Time, collection mustardsaddle.Collection) (Action, time.Duration, int64) {
+	reader := c.cfg.Reader(collection)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.known[which]
-	if p.lost {
+	p := c.known[collection]
+	if p.historyLost {
 		return ReadWhole, 0, 0
 	}
 	stale := c.cfg.Stale + time.Duration(c.rng.Int64N(int64(staleJitter)))
-	action, pause := Plan(now, State{Revision: p.revision, Fresh: p.fresh, Reader: reader, Stale: stale})
+	action, pause := Plan(now, State{Revision: p.revision, Fresh: p.freshAt, Reader: reader, Stale: stale})
 	return action, pause, p.revision
 }
 
-// act reads a collection and takes what came.
-func (c *Catalog) act(ctx context.Context, which mustardsaddle.Collection, action Action, revision int64) error {
-	began := time.Now()
+// read performs an action and applies the result.
+func (c *Catalog) read(ctx context.Context, collection mustardsaddle.Collection, action Action, revision int64) error {
+	started := time.Now()
 	var u mustardsaddle.Update
 	var err error
 	switch action {
 	case ReadWhole:
-		u, err = c.cfg.Directory.Snapshot(ctx, which, true)
+		u, err = c.cfg.Directory.Snapshot(ctx, collection, true)
 	case Watch:
-		u, err = c.cfg.Directory.Changes(ctx, which, revision, c.cfg.Wait)
+		u, err = c.cfg.Directory.Changes(ctx, collection, revision, c.cfg.Wait)
 	default:
-		u, err = c.cfg.Directory.Changes(ctx, which, revision, 0)
+		u, err = c.cfg.Directory.Changes(ctx, collection, revision, 0)
 	}
 	if err != nil {
 		return err
 	}
-	c.take(began, time.Now(), which, u)
+	c.applyRead(started, time.Now(), collection, u)
 	return nil
 }
 
-// forget makes the next action read the whole collection.
-func (c *Catalog) forget(which mustardsaddle.Collection) {
+// requireSnapshot makes the next action read a snapshot of the collection.
+func (c *Catalog) requireSnapshot(collection mustardsaddle.Collection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.known[which].lost = true
+	c.known[collection].historyLost = true
 }
 
-// take applies what this gateway has read in a call, and spreads what is new.
-func (c *Catalog) take(began, now time.Time, which mustardsaddle.Collection, u mustardsaddle.Update) {
+// applyRead applies an update that this gateway read in a call that started at started,
+// and forwards what is new.
+func (c *Catalog) applyRead(started, now time.Time, collection mustardsaddle.Collection, u mustardsaddle.Update) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, err := range u.Skipped {
-		event.Warn(c.cfg.Logger, event.EntrySkipped).Stringer("Collection", which).Err(err).Send()
+		event.Warn(c.cfg.Logger, event.EntrySkipped).Stringer("Collection", collection).Err(err).Send()
 	}
-	p := &c.known[which]
-	p.fresh = now
-	p.lost = p.lost && !u.Whole
-	news := c.news(which, u)
-	c.servers.Contact(began, now)
-	if MergeOf(p.revision, u.After, u.Revision, u.Whole) == Fits {
-		c.apply(now, which, u, "Directory")
+	p := &c.known[collection]
+	p.freshAt = now
+	p.historyLost = p.historyLost && !u.Whole
+	forwardable := c.forwardable(collection, u)
+	c.servers.Contact(started, now)
+	if CompareRevision(p.revision, u.After, u.Revision, u.Whole) == Applicable {
+		c.apply(now, collection, u, "Directory")
 	}
-	c.cfg.Spread("", which, news)
+	c.cfg.Spread("", collection, forwardable)
 }
 
-// Known returns how much is known of a collection.
-func (c *Catalog) Known(now time.Time, which mustardsaddle.Collection) mustardsaddle.Known {
+// Known returns the known revision of a collection and its age.
+func (c *Catalog) Known(now time.Time, collection mustardsaddle.Collection) mustardsaddle.Known {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.known[which]
+	p := c.known[collection]
 	if p.revision == 0 {
 		return mustardsaddle.Known{}
 	}
-	return mustardsaddle.Known{Revision: p.revision, Age: max(now.Sub(p.fresh), 0)}
+	return mustardsaddle.Known{Revision: p.revision, Age: max(now.Sub(p.freshAt), 0)}
 }
 
-// Heard takes what a peer says that it knows. It returns true if the peer knows more
-// and is to be asked for the whole collection.
-func (c *Catalog) Heard(now time.Time, which mustardsaddle.Collection, k mustardsaddle.Known) bool {
+// Heard processes the revision and age that a peer advertises. It returns true if the
+// peer has a newer revision and is to be asked for a snapshot of the collection.
+func (c *Catalog) Heard(now time.Time, collection mustardsaddle.Collection, k mustardsaddle.Known) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := &c.known[which]
+	p := &c.known[collection]
 	if k.Revision == 0 {
 		return false
 	}
 	if k.Revision > p.revision {
-		return p.ask(now)
+		return p.shouldRequest(now)
 	}
-	if fresh := now.Add(-k.Age); fresh.After(p.fresh) {
-		p.fresh = fresh
-		c.servers.Contact(fresh, fresh)
+	if freshAt := now.Add(-k.Age); freshAt.After(p.freshAt) {
+		p.freshAt = freshAt
+		c.servers.Contact(freshAt, freshAt)
 	}
 	return false
 }
 
-// Receive takes an update of a peer and passes it on if it is new, be it that it
-// only confirms that nothing has changed. It returns true if changes before the
-// update are missing here, so that the peer is to be asked for the whole collection.
-func (c *Catalog) Receive(now time.Time, from string, which mustardsaddle.Collection, u mustardsaddle.Update) (ask bool) {
+// Receive applies an update of a peer and forwards it if it is new. An update that
+// merely confirms that nothing has changed is new too if it makes the local copy
+// fresher. Receive returns true if changes before the update are missing here, so that
+// the peer is to be asked for a snapshot of the collection.
+func (c *Catalog) Receive(now time.Time, from string, collection mustardsaddle.Collection, u mustardsaddle.Update) (shouldRequest bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := &c.known[which]
-	fresh := now.Add(-u.Age)
-	news := c.news(which, u)
-	merge := MergeOf(p.revision, u.After, u.Revision, u.Whole)
+	p := &c.known[collection]
+	freshAt := now.Add(-u.Age)
+	forwardable := c.forwardable(collection, u)
+	merge := CompareRevision(p.revision, u.After, u.Revision, u.Whole)
 	if merge == Gap {
-		return p.ask(now)
+		return p.shouldRequest(now)
 	}
-	if merge == Old && fresh.Sub(p.fresh) < confirmInterval {
+	if merge == Outdated && freshAt.Sub(p.freshAt) < confirmInterval {
 		return false
 	}
-	// What is missing after an outage is told from what leaves by the contact before.
-	c.servers.Contact(fresh, fresh)
-	if merge == Fits {
-		c.apply(now, which, u, "Peer")
+	// Contact must come first: Core uses the previous contact to distinguish entries
+	// that expired during an outage from entries that were removed.
+	c.servers.Contact(freshAt, freshAt)
+	if merge == Applicable {
+		c.apply(now, collection, u, "Peer")
 	}
-	p.lost = p.lost && u.Revision < p.revision
-	if fresh.After(p.fresh) {
-		p.fresh = fresh
+	p.historyLost = p.historyLost && u.Revision < p.revision
+	if freshAt.After(p.freshAt) {
+		p.freshAt = freshAt
 	}
-	c.cfg.Spread(from, which, news)
+	c.cfg.Spread(from, collection, forwardable)
 	return false
 }
 
-// news returns what is passed on of an update that is not applied yet: changes as they
-// are, and of a whole collection what has changed since the known revision, which is
-// what peers lack that followed the same readers. The caller holds mu.
-func (c *Catalog) news(which mustardsaddle.Collection, u mustardsaddle.Update) mustardsaddle.Update {
+// forwardable returns the part of an update, not applied yet, that is forwarded to
+// peers. Incremental updates are forwarded as they are. A snapshot is reduced to the
+// changes since the known revision, which is what peers that followed the same readers
+// lack. The caller holds mu.
+func (c *Catalog) forwardable(collection mustardsaddle.Collection, u mustardsaddle.Update) mustardsaddle.Update {
 	if !u.Whole {
 		return u
 	}
-	// Peers that lack more learn the revision from it, and ask.
-	news := mustardsaddle.Update{After: u.Revision, Revision: u.Revision, Age: u.Age}
-	known := c.known[which].revision
+	// Without the changes, the update still announces the revision, so that peers with
+	// an older one request a snapshot.
+	forwardable := mustardsaddle.Update{After: u.Revision, Revision: u.Revision, Age: u.Age}
+	known := c.known[collection].revision
 	if known == 0 || u.Revision <= known {
-		return news
+		return forwardable
 	}
 	var changed []mustardsaddle.Machine
 	var removed []string
-	if which == mustardsaddle.ServersCollection {
-		changed, removed = difference(c.servers.Machines(), u.Machines)
+	if collection == mustardsaddle.ServersCollection {
+		changed, removed = diffMachines(c.servers.Machines(), u.Machines)
 	}
-	if len(changed)+len(removed) <= maxNews {
-		news.After, news.Rules, news.Machines, news.Removed = known, u.Rules, changed, removed
+	if len(changed)+len(removed) <= maxForwarded {
+		forwardable.After, forwardable.Rules, forwardable.Machines, forwardable.Removed = known, u.Rules, changed, removed
 	}
-	return news
+	return forwardable
 }
 
-// difference returns the VMs of after that are not in before as they are now, and the
+// diffMachines returns the VMs of after that are new or differ from before, and the
 // names of those of before that are not in after.
-func difference(before, after []mustardsaddle.Machine) (changed []mustardsaddle.Machine, removed []string) {
+func diffMachines(before, after []mustardsaddle.Machine) (changed []mustardsaddle.Machine, removed []string) {
 	old := make(map[string]mustardsaddle.Machine, len(before))
 	for _, m := range before {
 		old[m.Name] = m
@@ -400,22 +416,23 @@
 	return changed, removed
 }
 
-// ask reports whether a peer is to be asked for the collection now.
-func (p *progress) ask(now time.Time) bool {
-	if now.Sub(p.asked) < askInterval {
+// shouldRequest reports whether a peer is to be asked for a snapshot of the collection
+// now, and if so records the time.
+func (p *progress) shouldRequest(now time.Time) bool {
+	if now.Sub(p.requestedAt) < requestInterval {
 		return false
 	}
-	p.asked = now
+	p.requestedAt = now
 	return true
 }
 
-// Whole returns a collection for a peer that lacks it, or false if nothing is known.
-func (c *Catalog) Whole(now time.Time, which mustardsaddle.Collection) (mustardsaddle.Update, bool) {
+// Whole returns a snapshot of a collection for a peer, or false if nothing is known.
+func (c *Catalog) Whole(now time.Time, collection mustardsaddle.Collection) (mustardsaddle.Update, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.known[which]
-	u := mustardsaddle.Update{Whole: true, Revision: p.revision, Age: max(now.Sub(p.fresh), 0)}
-	if which == mustardsaddle.ServersCollection {
+	p := c.known[collection]
+	u := mustardsaddle.Update{Whole: true, Revision: p.revision, Age: max(now.Sub(p.freshAt), 0)}
+	if collection == mustardsaddle.ServersCollection {
 		u.Machines = c.servers.Machines()
 	} else if c.rules.Generation > 0 {
 		rules := c.rules
@@ -424,26 +441,27 @@
 	return u, u.Revision > 0
 }
 
-// apply puts an update in force. The caller holds mu.
-func (c *Catalog) apply(now time.Time, which mustardsaddle.Collection, u mustardsaddle.Update, source string) {
-	c.known[which].revision = u.Revision
-	if which == mustardsaddle.ServersCollection {
+// apply applies an update to the local copy. The caller holds mu.
+func (c *Catalog) apply(now time.Time, collection mustardsaddle.Collection, u mustardsaddle.Update, source string) {
+	c.known[collection].revision = u.Revision
+	if collection == mustardsaddle.ServersCollection {
 		c.publish(now, c.servers.Apply(now, u))
 		return
 	}
 	if u.Rules != nil {
-		c.takeRules(*u.Rules, u.Revision, source)
+		c.applyRules(*u.Rules, u.Revision, source)
 	}
 }
 
-func (c *Catalog) delay(failures int) time.Duration {
+func (c *Catalog) backoffDelay(failures int) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.pause.Delay(c.rng, failures)
+	return c.backoff.Delay(c.rng, failures)
 }
 
-// takeRules puts rules in force if they are newer. The caller holds mu.
-func (c *Catalog) takeRules(r mustardsaddle.RulesText, revision int64, source string) {
+// applyRules activates rules if they are newer than the active ones. The caller holds
+// mu.
+func (c *Catalog) applyRules(r mustardsaddle.RulesText, revision int64, source string) {
 	if r.Generation <= c.table.File.Generation {
 		return
 	}
@@ -459,7 +477,7 @@
 		Str("Source", source).Send()
 }
 
-// publish passes changed services on. The caller holds mu.
+// publish reports the servers of each changed service. The caller holds mu.
 func (c *Catalog) publish(now time.Time, list []Change) {
 	changed := make(map[string]bool)
 	for _, change := range list {
@@ -475,8 +493,8 @@
 	}
 }
 
-// logChange writes the line of a server that joined, left or was replaced. A
-// server that only warms up is no news.
+// logChange logs that a server was added, changed or removed. A change of its
+// remaining warm-up time alone is not logged.
 func (c *Catalog) logChange(change Change) {
 	old, now := change.Old, change.New
 	old.WarmUp, now.WarmUp = 0, 0
@@ -488,11 +506,11 @@
 		Bool("Known", old.Name != "").Bool("Listed", now.Name != "").Bool("Leaving", now.Leaving).Send()
 }
 
-// expire gives up entries that stay missing after an outage.
+// expire periodically removes the entries that stayed missing after an outage.
 func (c *Catalog) expire(ctx context.Context) {
 	for store.Sleep(ctx, expireInterval) {
 		c.mu.Lock()
-		if now := time.Now(); c.servers.Missing() {
+		if now := time.Now(); c.servers.HasMissing() {
 			c.publish(now, c.servers.Expire(now))
 		}
 		c.mu.Unlock()
--- a/internal/control/catalog/catalog_test.go
+++ b/internal/control/catalog/catalog_test.go
@@ -14,29 +14,29 @@
 	"mustardsaddle.example/mustardsaddle/internal/control/rule"
 )
 
-// patience bounds waits for what has no promised time.
-const patience = 10 * time.Second
+// waitLimit bounds waits for conditions that have no specified time limit.
+const waitLimit = 10 * time.Second
 
-// directory is a directory whose answers a test decides.
-type directory struct {
+// fakeDirectory is a directory with responses set by the test.
+type fakeDirectory struct {
 	mu sync.Mutex
-	// whole are the answers to Snapshot.
-	whole mustardsaddle.Update
-	// failures are the errors that Changes returns, in order.
+	// snapshot is the response to Snapshot for the rules collection.
+	snapshot mustardsaddle.Update
+	// failures are the errors that Changes returns for the rules collection, in order.
 	failures []error
 	calls    int
 }
 
-func (d *directory) Snapshot(_ context.Context, c mustardsaddle.Collection, _ bool) (mustardsaddle.Update, error) {
+func (d *fakeDirectory) Snapshot(_ context.Context, c mustardsaddle.Collection, _ bool) (mustardsaddle.Update, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c != mustardsaddle.RulesCollection {
 		return mustardsaddle.Update{Whole: true, Revision: 1}, nil
 	}
-	return d.whole, nil
+	return d.snapshot, nil
 }
 
-func (d *directory) Changes(ctx context.Context, c mustardsaddle.Collection, _ int64, _ time.Duration) (mustardsaddle.Update, error) {
+func (d *fakeDirectory) Changes(ctx context.Context, c mustardsaddle.Collection, _ int64, _ time.Duration) (mustardsaddle.Update, error) {
 	d.mu.Lock()
 	if c == mustardsaddle.RulesCollection && len(d.failures) > 0 {
 		err := d.failures[0]
@@ -50,21 +50,22 @@
 	return mustardsaddle.Update{}, ctx.Err()
 }
 
-func (d *directory) Enter(context.Context, mustardsaddle.VM) error { return nil }
+func (d *fakeDirectory) Enter(context.Context, mustardsaddle.VM) error { return nil }
 
-func (d *directory) Remove(context.Context, string) error { return nil }
+func (d *fakeDirectory) Remove(context.Context, string) error { return nil }
 
 func rules(generation int64) *mustardsaddle.RulesText {
 	return &mustardsaddle.RulesText{Generation: generation, Text: "Path=/rosters Service=Booking # Mei Lin: rosters"}
 }
 
-// TestHistoryLostAfterOutage answers the pattern of a watch that times out while the
-// directory is deaf, and then finds its history gone.
+// TestHistoryLostAfterOutage guards against a catalog that does not recover when a
+// watch times out during a directory outage and the directory has discarded its
+// history afterwards.
 func TestHistoryLostAfterOutage(t *testing.T) {
-	d := &directory{whole: mustardsaddle.Update{Whole: true, Revision: 5, Rules: rules(1)}}
+	d := &fakeDirectory{snapshot: mustardsaddle.Update{Whole: true, Revision: 5, Rules: rules(1)}}
 	d.failures = []error{
-		code.Errorf(code.StoreUnavailable, "got nothing"),
-		code.Errorf(code.StoreHistoryLost, "history is gone"),
+		code.Errorf(code.StoreUnavailable, "no response"),
+		code.Errorf(code.StoreHistoryLost, "history was discarded"),
 	}
 	inForce := make(chan int64, 4)
 	c := catalog.New(catalog.Config{
@@ -72,7 +73,7 @@
 		InForce: func(table *rule.Table) {
 			if table.File.Generation == 1 {
 				d.mu.Lock()
-				d.whole = mustardsaddle.Update{Whole: true, Revision: 9, Rules: rules(2)}
+				d.snapshot = mustardsaddle.Update{Whole: true, Revision: 9, Rules: rules(2)}
 				d.mu.Unlock()
 			}
 			inForce <- table.File.Generation
@@ -88,20 +89,20 @@
 			if got != want {
 				t.Errorf("got generation %d in force, want %d", got, want)
 			}
-		case <-time.After(patience):
-			t.Errorf("got no generation %d, want it in force", want)
+		case <-time.After(waitLimit):
+			t.Errorf("timed out waiting for generation %d to be in force", want)
 		}
 	}
 	cancel()
 	<-done
 }
 
-// TestHistoryLostAgainAndAgain answers the pattern of a directory that keeps no history
-// at all for a while: it is not called in a tight loop.
+// TestHistoryLostAgainAndAgain guards against calls in a tight loop while the
+// directory retains no history, so that every request for changes fails.
 func TestHistoryLostAgainAndAgain(t *testing.T) {
-	d := &directory{whole: mustardsaddle.Update{Whole: true, Revision: 5, Rules: rules(1)}}
+	d := &fakeDirectory{snapshot: mustardsaddle.Update{Whole: true, Revision: 5, Rules: rules(1)}}
 	for range 10_000 {
-		d.failures = append(d.failures, code.Errorf(code.StoreHistoryLost, "history is gone"))
+		d.failures = append(d.failures, code.Errorf(code.StoreHistoryLost, "history was discarded"))
 	}
 	c := catalog.New(catalog.Config{
 		Directory: d, InForce: func(*rule.Table) {}, Servers: func(time.Time, string, []mustardsaddle.Server) {},
@@ -114,7 +115,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.calls > 20 {
-		t.Errorf("got %d calls for changes in half a second, want pauses between them", d.calls)
+		t.Errorf("got %d calls of Changes in half a second, want at most 20", d.calls)
 	}
 }
 
@@ -125,16 +126,16 @@
 		whole                  bool
 		want                   catalog.Merge
 	}{
-		{"whole of a later time", 5, 0, 9, true, catalog.Fits},
-		{"whole of an earlier time", 9, 0, 5, true, catalog.Old},
-		{"the same revision", 5, 5, 5, false, catalog.Old},
-		{"the next change", 5, 5, 7, false, catalog.Fits},
-		{"a change that overlaps", 6, 5, 7, false, catalog.Fits},
-		{"a change after a gap", 5, 6, 7, false, catalog.Gap},
-		{"a change where nothing is known", 0, 0, 7, false, catalog.Gap},
-		{"a whole where nothing is known", 0, 0, 7, true, catalog.Fits},
+		{"newer snapshot", 5, 0, 9, true, catalog.Applicable},
+		{"older snapshot", 9, 0, 5, true, catalog.Outdated},
+		{"same revision", 5, 5, 5, false, catalog.Outdated},
+		{"next change", 5, 5, 7, false, catalog.Applicable},
+		{"overlapping change", 6, 5, 7, false, catalog.Applicable},
+		{"change after a gap", 5, 6, 7, false, catalog.Gap},
+		{"change without a known revision", 0, 0, 7, false, catalog.Gap},
+		{"snapshot without a known revision", 0, 0, 7, true, catalog.Applicable},
 	} {
-		if got := catalog.MergeOf(c.known, c.after, c.revision, c.whole); got != c.want {
+		if got := catalog.CompareRevision(c.known, c.after, c.revision, c.whole); got != c.want {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -149,8 +150,8 @@
 		want  catalog.Action
 		pause time.Duration
 	}{
-		{"nothing known", catalog.State{Fresh: now, Stale: stale}, catalog.ReadWhole, 0},
-		{"a reader", catalog.State{Revision: 3, Fresh: now, Reader: true, Stale: stale}, catalog.Watch, 0},
+		{"no known revision", catalog.State{Fresh: now, Stale: stale}, catalog.ReadWhole, 0},
+		{"reader", catalog.State{Revision: 3, Fresh: now, Reader: true, Stale: stale}, catalog.Watch, 0},
 		{"fresh", catalog.State{Revision: 3, Fresh: now.Add(-300 * time.Millisecond), Stale: stale}, catalog.Sleep, 700 * time.Millisecond},
 		{"stale", catalog.State{Revision: 3, Fresh: now.Add(-stale), Stale: stale}, catalog.ReadChanges, 0},
 	} {
@@ -161,8 +162,8 @@
 	}
 }
 
-// spread records what a catalog passes on.
-type spread struct {
+// forwarded is an update passed to Config.Spread.
+type forwarded struct {
 	from    string
 	updates []mustardsaddle.Update
 }
@@ -170,54 +171,54 @@
 func TestPeers(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	convey.Convey("Given a catalog that knows servers up to revision 5", t, func() {
-		var passed []spread
+		var passed []forwarded
 		var servers []mustardsaddle.Server
 		c := catalog.New(catalog.Config{
 			Servers: func(_ time.Time, _ string, list []mustardsaddle.Server) { servers = list },
 			Spread: func(from string, _ mustardsaddle.Collection, u mustardsaddle.Update) {
-				passed = append(passed, spread{from: from, updates: []mustardsaddle.Update{u}})
+				passed = append(passed, forwarded{from: from, updates: []mustardsaddle.Update{u}})
 			},
 		})
-		which := mustardsaddle.ServersCollection
+		collection := mustardsaddle.ServersCollection
 		machine := mustardsaddle.Machine{Name: "booking-1", Service: "Booking", Address: "10.0.0.1:80", Incarnation: 1}
 		const age = 500 * time.Millisecond
 		whole := mustardsaddle.Update{Whole: true, Revision: 5, Age: age, Machines: []mustardsaddle.Machine{machine}}
-		convey.So(c.Receive(now, "peer", which, whole), convey.ShouldBeFalse)
+		convey.So(c.Receive(now, "peer", collection, whole), convey.ShouldBeFalse)
 		convey.So(servers, convey.ShouldHaveLength, 1)
-		convey.So(c.Known(now, which), convey.ShouldResemble, mustardsaddle.Known{Revision: 5, Age: age})
-		convey.So(passed, convey.ShouldResemble, []spread{{
+		convey.So(c.Known(now, collection), convey.ShouldResemble, mustardsaddle.Known{Revision: 5, Age: age})
+		convey.So(passed, convey.ShouldResemble, []forwarded{{
 			from: "peer", updates: []mustardsaddle.Update{{After: 5, Revision: 5, Age: age}},
 		}})
 		passed = nil
-		convey.Convey("The next change is applied and passed on once", func() {
+		convey.Convey("The next change is applied and forwarded once", func() {
 			u := mustardsaddle.Update{After: 5, Revision: 6, Removed: []string{"booking-1"}}
-			c.Receive(now, "peer", which, u)
-			c.Receive(now, "other", which, u)
+			c.Receive(now, "peer", collection, u)
+			c.Receive(now, "other", collection, u)
 			convey.So(servers, convey.ShouldBeEmpty)
 			convey.So(passed, convey.ShouldHaveLength, 1)
 			convey.So(passed[0].from, convey.ShouldEqual, "peer")
 		})
-		convey.Convey("A change after a gap is not applied, and the peer is asked for the whole", func() {
+		convey.Convey("A change after a gap is not applied, and a snapshot is requested from the peer", func() {
 			change := mustardsaddle.Update{After: 7, Revision: 8, Removed: []string{"booking-1"}}
-			convey.So(c.Receive(now, "peer", which, change), convey.ShouldBeTrue)
+			convey.So(c.Receive(now, "peer", collection, change), convey.ShouldBeTrue)
 			convey.So(servers, convey.ShouldHaveLength, 1)
 			convey.So(passed, convey.ShouldBeEmpty)
-			convey.So(c.Receive(now, "other", which, change), convey.ShouldBeFalse)
-			convey.So(c.Heard(now, which, mustardsaddle.Known{Revision: 8}), convey.ShouldBeFalse)
+			convey.So(c.Receive(now, "other", collection, change), convey.ShouldBeFalse)
+			convey.So(c.Heard(now, collection, mustardsaddle.Known{Revision: 8}), convey.ShouldBeFalse)
 			later := now.Add(time.Second)
-			convey.So(c.Heard(later, which, mustardsaddle.Known{Revision: 8}), convey.ShouldBeTrue)
-			convey.So(c.Heard(later, which, mustardsaddle.Known{Revision: 8}), convey.ShouldBeFalse)
+			convey.So(c.Heard(later, collection, mustardsaddle.Known{Revision: 8}), convey.ShouldBeTrue)
+			convey.So(c.Heard(later, collection, mustardsaddle.Known{Revision: 8}), convey.ShouldBeFalse)
 		})
-		convey.Convey("A peer that knows as much tells how fresh the knowledge is", func() {
-			convey.So(c.Heard(now, which, mustardsaddle.Known{Revision: 5, Age: 300 * time.Millisecond}), convey.ShouldBeFalse)
-			convey.So(c.Known(now, which), convey.ShouldResemble, mustardsaddle.Known{Revision: 5, Age: 300 * time.Millisecond})
+		convey.Convey("A peer with the same revision and a lower age makes the collection fresher", func() {
+			convey.So(c.Heard(now, collection, mustardsaddle.Known{Revision: 5, Age: 300 * time.Millisecond}), convey.ShouldBeFalse)
+			convey.So(c.Known(now, collection), convey.ShouldResemble, mustardsaddle.Known{Revision: 5, Age: 300 * time.Millisecond})
 		})
-		convey.Convey("A word that nothing has changed is passed on while it is news", func() {
+		convey.Convey("A confirmation of the known revision is forwarded only if it is newer", func() {
 			later := now.Add(time.Second)
-			c.Receive(later, "peer", which, mustardsaddle.Update{After: 5, Revision: 5})
-			c.Receive(later, "other", which, mustardsaddle.Update{After: 5, Revision: 5})
+			c.Receive(later, "peer", collection, mustardsaddle.Update{After: 5, Revision: 5})
+			c.Receive(later, "other", collection, mustardsaddle.Update{After: 5, Revision: 5})
 			convey.So(passed, convey.ShouldHaveLength, 1)
-			convey.So(c.Known(later, which).Age, convey.ShouldEqual, 0)
+			convey.So(c.Known(later, collection).Age, convey.ShouldEqual, 0)
 		})
 	})
 }
@@ -232,18 +233,18 @@
 		c := catalog.NewCore(catalog.CoreConfig{Return: 2 * time.Second, Outage: 2 * time.Second})
 		c.Contact(start, start)
 		c.Apply(start, mustardsaddle.Update{Whole: true, Revision: 1, Machines: []mustardsaddle.Machine{server("a"), server("b")}})
-		convey.Convey("One that is removed while the directory answers is gone at once", func() {
+		convey.Convey("A server removed while the directory responds is dropped at once", func() {
 			c.Contact(at(time.Second), at(time.Second))
 			changes := c.Apply(at(time.Second), mustardsaddle.Update{After: 1, Revision: 2, Removed: []string{"a"}})
 			convey.So(changes, convey.ShouldHaveLength, 1)
 			convey.So(c.Servers("Booking"), convey.ShouldHaveLength, 1)
 		})
-		convey.Convey("A long watch that is answered is no outage", func() {
+		convey.Convey("A long watch that is answered does not count as an outage", func() {
 			c.Contact(at(time.Second), at(9*time.Second))
 			c.Apply(at(9*time.Second), mustardsaddle.Update{After: 1, Revision: 2, Removed: []string{"a"}})
 			convey.So(c.Servers("Booking"), convey.ShouldHaveLength, 1)
 		})
-		convey.Convey("One that is missing after an outage is believed for a while, then gone", func() {
+		convey.Convey("A server missing after an outage is retained for the configured time, then dropped", func() {
 			c.Contact(at(8*time.Second), at(8*time.Second))
 			c.Apply(at(8*time.Second), mustardsaddle.Update{Whole: true, Revision: 3, Machines: []mustardsaddle.Machine{server("b")}})
 			convey.So(c.Servers("Booking"), convey.ShouldHaveLength, 2)
@@ -252,9 +253,9 @@
 			convey.So(c.Servers("Booking"), convey.ShouldHaveLength, 2)
 			c.Expire(at(10 * time.Second))
 			convey.So(c.Servers("Booking"), convey.ShouldHaveLength, 1)
-			convey.So(c.Missing(), convey.ShouldBeFalse)
+			convey.So(c.HasMissing(), convey.ShouldBeFalse)
 		})
-		convey.Convey("One that comes back in time stays", func() {
+		convey.Convey("A server that is listed again within that time is kept", func() {
 			c.Contact(at(8*time.Second), at(8*time.Second))
 			c.Apply(at(8*time.Second), mustardsaddle.Update{After: 1, Revision: 3, Removed: []string{"a"}})
 			c.Apply(at(9*time.Second), mustardsaddle.Update{After: 3, Revision: 4, Machines: []mustardsaddle.Machine{server("a")}})
@@ -264,18 +265,18 @@
 	})
 }
 
-// TestReadersSpareTheDirectory answers the pattern of a directory that was down for all
-// and has lost its history: what the first gateway reads then keeps the others from
-// reading it too.
+// TestReadersSpareTheDirectory guards against every gateway reading a snapshot after a
+// directory outage in which the history was lost: the snapshot that the first gateway
+// reads and forwards must suffice for the others.
 func TestReadersSpareTheDirectory(t *testing.T) {
-	convey.Convey("Given a gateway that has read a whole collection, and a peer that knew as much", t, func() {
-		d := &directory{whole: mustardsaddle.Update{Whole: true, Revision: 5, Rules: rules(1)}}
-		told := make(chan mustardsaddle.Update, 8)
+	convey.Convey("Given a gateway that has read a snapshot, and a peer with the same revision", t, func() {
+		d := &fakeDirectory{snapshot: mustardsaddle.Update{Whole: true, Revision: 5, Rules: rules(1)}}
+		rulesUpdates := make(chan mustardsaddle.Update, 8)
 		c := catalog.New(catalog.Config{
 			Directory: d, InForce: func(*rule.Table) {}, Servers: func(time.Time, string, []mustardsaddle.Server) {},
-			Spread: func(_ string, which mustardsaddle.Collection, u mustardsaddle.Update) {
-				if which == mustardsaddle.RulesCollection {
-					told <- u
+			Spread: func(_ string, collection mustardsaddle.Collection, u mustardsaddle.Update) {
+				if collection == mustardsaddle.RulesCollection {
+					rulesUpdates <- u
 				}
 			},
 		})
@@ -284,8 +285,8 @@
 		go c.Run(ctx, done)
 		var confirmation mustardsaddle.Update
 		select {
-		case confirmation = <-told:
-		case <-time.After(patience):
+		case confirmation = <-rulesUpdates:
+		case <-time.After(waitLimit):
 		}
 		cancel()
 		<-done
@@ -293,14 +294,14 @@
 
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		peer := catalog.New(catalog.Config{InForce: func(*rule.Table) {}})
-		which := mustardsaddle.RulesCollection
-		peer.Receive(now, "reader", which, mustardsaddle.Update{Whole: true, Revision: 5, Rules: rules(1)})
-		convey.Convey("The peer is as fresh as the gateway", func() {
+		collection := mustardsaddle.RulesCollection
+		peer.Receive(now, "reader", collection, mustardsaddle.Update{Whole: true, Revision: 5, Rules: rules(1)})
+		convey.Convey("The confirmation makes the peer as fresh as the gateway", func() {
 			later := now.Add(time.Minute)
-			convey.So(peer.Receive(later, "reader", which, confirmation), convey.ShouldBeFalse)
-			convey.So(peer.Known(later, which), convey.ShouldResemble, mustardsaddle.Known{Revision: 5})
+			convey.So(peer.Receive(later, "reader", collection, confirmation), convey.ShouldBeFalse)
+			convey.So(peer.Known(later, collection), convey.ShouldResemble, mustardsaddle.Known{Revision: 5})
 		})
-		convey.Convey("What it reads later is passed on as the changes since, with the rules", func() {
+		convey.Convey("A later snapshot is forwarded as the changes since the known revision", func() {
 			var passed []mustardsaddle.Update
 			next := catalog.New(catalog.Config{
 				Servers: func(time.Time, string, []mustardsaddle.Server) {},
@@ -326,33 +327,34 @@
 				},
 			})
 		})
-		convey.Convey("A peer that knows less asks for the whole", func() {
+		convey.Convey("A peer with an older revision requests a snapshot", func() {
 			confirmation.After, confirmation.Revision = 9, 9
-			convey.So(peer.Receive(now, "reader", which, confirmation), convey.ShouldBeTrue)
+			convey.So(peer.Receive(now, "reader", collection, confirmation), convey.ShouldBeTrue)
 		})
 	})
 }
 
-// TestPeerTellsOfMissingServers answers the pattern of entries that lapse while the
-// directory is away: what a peer reads afterwards does not take the servers away at once.
+// TestPeerTellsOfMissingServers guards against the immediate removal of servers whose
+// directory entries expired during an outage, when a peer reads the directory first
+// and forwards the removals.
 func TestPeerTellsOfMissingServers(t *testing.T) {
-	convey.Convey("Given a server that a peer no longer finds after an outage", t, func() {
+	convey.Convey("Given a server whose removal is received from a peer", t, func() {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		var servers []mustardsaddle.Server
 		c := catalog.New(catalog.Config{
 			Core:    catalog.CoreConfig{Return: 2 * time.Second, Outage: 2 * time.Second},
 			Servers: func(_ time.Time, _ string, list []mustardsaddle.Server) { servers = list },
 		})
-		which := mustardsaddle.ServersCollection
+		collection := mustardsaddle.ServersCollection
 		machine := mustardsaddle.Machine{Name: "booking-1", Service: "Booking", Address: "10.0.0.1:80", Incarnation: 1}
-		c.Receive(now, "peer", which, mustardsaddle.Update{Whole: true, Revision: 5, Machines: []mustardsaddle.Machine{machine}})
+		c.Receive(now, "peer", collection, mustardsaddle.Update{Whole: true, Revision: 5, Machines: []mustardsaddle.Machine{machine}})
 		removal := mustardsaddle.Update{After: 5, Revision: 6, Removed: []string{machine.Name}}
-		convey.Convey("It is still used", func() {
-			c.Receive(now.Add(8*time.Second), "peer", which, removal)
+		convey.Convey("After an outage the server is retained", func() {
+			c.Receive(now.Add(8*time.Second), "peer", collection, removal)
 			convey.So(servers, convey.ShouldHaveLength, 1)
 		})
-		convey.Convey("Without an outage it is gone", func() {
-			c.Receive(now.Add(time.Second), "peer", which, removal)
+		convey.Convey("Without an outage the server is dropped at once", func() {
+			c.Receive(now.Add(time.Second), "peer", collection, removal)
 			convey.So(servers, convey.ShouldBeEmpty)
 		})
 	})
--- a/internal/control/catalog/core.go
+++ b/internal/control/catalog/core.go
@@ -10,61 +10,63 @@
 )
 
 const (
-	// defaultReturn is the time in which entries that lapsed during an outage of
-	// the directory are expected back.
-	defaultReturn = 2 * time.Second
-	// defaultOutage is the time without an answer from which entries may have
-	// lapsed only because the directory could not be reached.
+	// defaultRetainMissing is how long entries that expired during a directory outage
+	// are retained, since they are expected to reappear.
+	defaultRetainMissing = 2 * time.Second
+	// defaultOutage is the minimum time without a response that counts as an outage.
+	// Entries that are missing after it may have expired only because the directory
+	// could not be reached.
 	defaultOutage = 2 * time.Second
 )
 
-// CoreConfig configures a Core. Zero values mean the defaults.
+// CoreConfig configures a Core. Zero values select the defaults.
 type CoreConfig struct {
-	// Return is how long after an outage a missing entry is still believed.
+	// Return is how long an entry that is missing after an outage is retained.
 	Return time.Duration
-	// Outage is the time without an answer that counts as an outage.
+	// Outage is the minimum time without a response that counts as an outage.
 	Outage time.Duration
 }
 
-// Core knows the VMs of one collection. It performs no I/O; the present time is an
-// argument. A Core is not safe for concurrent use.
+// Core holds the state of the servers collection. It performs no I/O and takes the
+// current time as an argument. A Core is not safe for concurrent use.
 type Core struct {
 	cfg     CoreConfig
 	entries map[string]entry
-	// answered is when the directory was last known to answer, to this gateway or to
-	// one that it heard of it.
-	answered time.Time
-	// back is when it answered again after an outage.
-	back time.Time
+	// lastContact is the latest time at which the directory is known to have
+	// responded, to this gateway or to one whose update reached it.
+	lastContact time.Time
+	// recoveredAt is the time of the first response after the last outage.
+	recoveredAt time.Time
 }
 
-// entry is a VM as the directory told of it.
+// entry is a VM as last listed by the directory.
 type entry struct {
 	mustardsaddle.Machine
 	warmAt time.Time
-	// until is when an entry that is missing after an outage is given up; zero for
-	// an entry that is listed.
-	until time.Time
+	// expiresAt is when an entry that is no longer listed is removed; zero for a
+	// listed entry.
+	expiresAt time.Time
 }
 
-// NewCore returns a Core that knows no VM.
+// NewCore returns a Core without entries.
 func NewCore(cfg CoreConfig) *Core {
-	cfg.Return = cmp.Or(cfg.Return, defaultReturn)
+	cfg.Return = cmp.Or(cfg.Return, defaultRetainMissing)
 	cfg.Outage = cmp.Or(cfg.Outage, defaultOutage)
 	return &Core{cfg: cfg, entries: make(map[string]entry)}
 }
 
-// Change is a VM that has joined, changed or left.
+// Change describes a VM that was added, modified or removed.
 type Change struct {
-	// Old is the VM before; its name is empty if the VM is new.
+	// Old is the previous state of the VM; its name is empty if the VM was added.
 	Old mustardsaddle.Machine
-	// New is the VM now; its name is empty if the VM is gone.
+	// New is the current state of the VM; its name is empty if the VM was removed.
 	New mustardsaddle.Machine
 }
 
-// Apply takes an update that came in at now, and returns what it changes, ordered
-// by name. A VM that is no longer listed is gone at once, unless the directory has
-// just come back: an entry that lapsed meanwhile is believed for Return.
+// Apply applies an update received at now and returns the resulting changes, ordered
+// by name. A VM that is no longer listed is removed at once, unless the directory has
+// just recovered from an outage: entries that expired during the outage are retained
+// until CoreConfig.Return after the recovery.
 func (c *Core) Apply(now time.Time, u mustardsaddle.Update) []Change {
 	before := maps.Clone(c.entries)
 	listed := make(map[string]bool, len(u.Machines))
@@ -73,12 +75,12 @@
 		c.entries[m.Name] = entry{Machine: m, warmAt: warmAt(now, m)}
 	}
 	for _, name := range u.Removed {
-		c.miss(name)
+		c.markMissing(name)
 	}
 	if u.Whole {
 		for name := range before {
 			if !listed[name] {
-				c.miss(name)
+				c.markMissing(name)
 			}
 		}
 	}
@@ -86,21 +88,21 @@
 	return changes(before, c.entries)
 }
 
-// Contact tells that the directory answered from since to now.
+// Contact records that the directory answered a call that lasted from since to now.
 func (c *Core) Contact(since, now time.Time) {
-	if !c.answered.IsZero() && since.Sub(c.answered) >= c.cfg.Outage {
-		c.back = now
+	if !c.lastContact.IsZero() && since.Sub(c.lastContact) >= c.cfg.Outage {
+		c.recoveredAt = now
 	}
-	if now.After(c.answered) {
-		c.answered = now
+	if now.After(c.lastContact) {
+		c.lastContact = now
 	}
 }
 
-// Machines returns the VMs that are listed, ordered by name.
+// Machines returns the listed VMs, ordered by name.
 func (c *Core) Machines() []mustardsaddle.Machine {
 	var machines []mustardsaddle.Machine
 	for _, e := range c.entries {
-		if e.until.IsZero() {
+		if e.expiresAt.IsZero() {
 			machines = append(machines, e.Machine)
 		}
 	}
@@ -108,7 +110,8 @@
 	return machines
 }
 
-// warmAt returns when a VM will have warmed up, as told at now.
+// warmAt returns when a VM will have warmed up, given its remaining warm-up time at
+// now.
 func warmAt(now time.Time, m mustardsaddle.Machine) time.Time {
 	if m.WarmUp <= 0 {
 		return time.Time{}
@@ -116,17 +119,17 @@
 	return now.Add(m.WarmUp)
 }
 
-// miss notes that an entry is not listed.
-func (c *Core) miss(name string) {
+// markMissing records that an entry is no longer listed, and sets its expiry time.
+func (c *Core) markMissing(name string) {
 	e, known := c.entries[name]
-	if !known || !e.until.IsZero() {
+	if !known || !e.expiresAt.IsZero() {
 		return
 	}
-	e.until = c.back.Add(c.cfg.Return)
+	e.expiresAt = c.recoveredAt.Add(c.cfg.Return)
 	c.entries[name] = e
 }
 
-// Expire gives up the entries whose time has passed.
+// Expire removes the missing entries whose retention time has passed.
 func (c *Core) Expire(now time.Time) []Change {
 	before := maps.Clone(c.entries)
 	c.expire(now)
@@ -134,14 +137,14 @@
 }
 
 func (c *Core) expire(now time.Time) {
-	maps.DeleteFunc(c.entries, func(_ string, e entry) bool { return !e.until.IsZero() && !now.Before(e.until) })
+	maps.DeleteFunc(c.entries, func(_ string, e entry) bool { return !e.expiresAt.IsZero() && !now.Before(e.expiresAt) })
 }
 
-// Missing reports whether an entry is believed that is not listed, which Expire
-// has to end.
-func (c *Core) Missing() bool {
+// HasMissing reports whether any entry is retained although it is no longer listed, so
+// that Expire has to be called.
+func (c *Core) HasMissing() bool {
 	for _, e := range c.entries {
-		if !e.until.IsZero() {
+		if !e.expiresAt.IsZero() {
 			return true
 		}
 	}
@@ -169,26 +172,26 @@
 
 // Servers returns the endpoint servers of a service, ordered by name.
 func (c *Core) Servers(service string) []mustardsaddle.Server {
-	return c.serversOf(func(e entry) bool { return e.Service == service })
+	return c.selectServers(func(e entry) bool { return e.Service == service })
 }
 
 // AllServers returns the endpoint servers of all services, ordered by service and
 // name.
 func (c *Core) AllServers() []mustardsaddle.Server {
-	return c.serversOf(func(entry) bool { return true })
+	return c.selectServers(func(entry) bool { return true })
 }
 
-// Empty reports whether no VM is known.
+// Empty reports whether there are no entries.
 func (c *Core) Empty() bool {
 	return len(c.entries) == 0
 }
 
-// serversOf returns the endpoint servers that pass a test, ordered by service and
-// name.
-func (c *Core) serversOf(test func(entry) bool) []mustardsaddle.Server {
+// selectServers returns the endpoint servers whose entries match, ordered by service
+// and name.
+func (c *Core) selectServers(match func(entry) bool) []mustardsaddle.Server {
 	var servers []mustardsaddle.Server
 	for _, e := range c.entries {
-		if test(e) {
+		if match(e) {
 			servers = append(servers, mustardsaddle.Server{
 				Name: e.Name, Incarnation: e.Incarnation, Address: e.Address, Service: e.Service, Zone: e.Zone,
 				Slots: e.Slots, Connections: e.Connections, Leaving: e.Leaving, WarmAt: e.warmAt,
--- a/internal/control/catalog/plan.go
+++ b/internal/control/catalog/plan.go
@@ -4,33 +4,34 @@
 
 //go:generate go tool -modfile=../../../tools/go.mod stringer -type=Action -output=action_string.go
 
-// Action is what to do next about a collection.
+// Action is the next operation on a collection.
 type Action int
 
 const (
-	// Sleep waits: others keep this gateway up to date.
+	// Sleep means to wait, because updates from peers keep this gateway current.
 	Sleep Action = iota
-	// ReadWhole reads the whole collection.
+	// ReadWhole means to read a snapshot of the collection.
 	ReadWhole
-	// Watch waits for changes at the directory.
+	// Watch means to wait for changes with a long poll of the directory.
 	Watch
-	// ReadChanges asks the directory for changes without waiting.
+	// ReadChanges means to read changes from the directory without waiting.
 	ReadChanges
 )
 
-// State is what the next action about a collection depends on.
+// State is the input of Plan.
 type State struct {
-	// Revision is the revision known, 0 for none.
+	// Revision is the revision known locally, 0 for none.
 	Revision int64
-	// Fresh is when nothing was missing.
+	// Fresh is the latest time at which the collection was known to be up to date.
 	Fresh time.Time
-	// Reader is true if this gateway reads for others.
+	// Reader is true if this gateway watches the collection on behalf of its peers.
 	Reader bool
-	// Stale is the age from which any gateway reads for itself.
+	// Stale is the age from which a gateway reads the directory even if it is not a
+	// reader.
 	Stale time.Duration
 }
 
-// Plan returns the next action, and how long to sleep.
+// Plan returns the next action and, for Sleep, its duration.
 func Plan(now time.Time, s State) (Action, time.Duration) {
 	age := now.Sub(s.Fresh)
 	switch {
@@ -45,25 +46,25 @@
 	}
 }
 
-// Merge says what to do with an update of a peer.
+// Merge is the result of comparing an update with the revision known locally.
 type Merge int
 
 const (
-	// Old means that the update brings nothing new.
-	Old Merge = iota
-	// Fits means that the update can be applied.
-	Fits
-	// Gap means that changes before the update are missing.
+	// Outdated means that the update contains nothing new.
+	Outdated Merge = iota
+	// Applicable means that the update can be applied.
+	Applicable
+	// Gap means that changes between the known revision and the update are missing.
 	Gap
 )
 
-// MergeOf compares an update with the known revision.
-func MergeOf(known, after, revision int64, whole bool) Merge {
+// CompareRevision compares an update with the revision known locally.
+func CompareRevision(known, after, revision int64, whole bool) Merge {
 	switch {
 	case revision <= known:
-		return Old
+		return Outdated
 	case whole || after <= known && known > 0:
-		return Fits
+		return Applicable
 	default:
 		return Gap
 	}
