--- a/internal/control/registry/core_test.go
+++ b/internal/control/registry/core_test.go
@@ -16,21 +16,21 @@
 	"mustardsaddle.example/mustardsaddle/internal/control/rule"
 )
 
-// memory is the store of the model: all versions of each object.
-type memory map[string][]string
+// versionedStore is the store of the model: all versions of each object.
+type versionedStore map[string][]string
 
-func (m memory) get(key string, version int64) mustardsaddle.Object {
+func (m versionedStore) get(key string, version int64) mustardsaddle.Object {
 	if version < 1 || version > int64(len(m[key])) {
 		return mustardsaddle.Object{Key: key}
 	}
 	return mustardsaddle.Object{Key: key, Version: version, Value: []byte(m[key][version-1])}
 }
 
-func (m memory) newest(key string) int64 {
+func (m versionedStore) newest(key string) int64 {
 	return int64(len(m[key]))
 }
 
-func (m memory) put(key, value string, version int64) (int64, error) {
+func (m versionedStore) put(key, value string, version int64) (int64, error) {
 	if version != m.newest(key) {
 		return 0, code.Errorf(code.StoreConflict, "conflict")
 	}
@@ -38,42 +38,43 @@
 	return version + 1, nil
 }
 
-// model is several gateways, racing operators and a store with faults.
+// model consists of several gateways, concurrent operators and a store with faults.
 type model struct {
-	store    memory
+	store    versionedStore
 	gateways []*registry.Core
-	// highest is the highest generation that each gateway had in force.
+	// highest is the highest generation that each gateway has had in force.
 	highest []int64
-	// spread are all changes ever sent; any may come late, twice or never.
-	spread []rule.Change
-	// late are writes whose answer was lost and that take effect later.
-	late  []registry.Step
-	edits int
-	// alien are the versions of Rules/Accepted that no gateway wrote.
-	alien map[int64]bool
-	// faults is false while the model settles.
+	// sentChanges are all changes sent to peers so far; any of them may be delivered
+	// late, repeatedly or never.
+	sentChanges []rule.Change
+	// delayedWrites are writes that take effect after their response was lost.
+	delayedWrites []registry.Step
+	edits         int
+	// foreign holds the versions of Rules/Accepted that were not written by a gateway.
+	foreign map[int64]bool
+	// faults is false during the final phase, in which no faults occur.
 	faults bool
 }
 
-const fleet = 4
+const fleetSize = 4
 
 func newModel() *model {
-	m := &model{store: memory{}, faults: true, alien: make(map[int64]bool), highest: make([]int64, fleet)}
-	for range fleet {
+	m := &model{store: versionedStore{}, faults: true, foreign: make(map[int64]bool), highest: make([]int64, fleetSize)}
+	for range fleetSize {
 		m.gateways = append(m.gateways, registry.NewCore())
 	}
 	return m
 }
 
-var errStore = code.Errorf(code.StoreUnavailable, "no answer")
+var errNoResponse = code.Errorf(code.StoreUnavailable, "no response")
 
-// submit edits one of the accepted files, as an operator who read it back some
-// time ago, and writes it whatever others did meanwhile.
+// submit edits one of the accepted files, as an operator does who read it some time
+// ago, and writes it regardless of changes made meanwhile.
 func (m *model) submit(t *rapid.T) {
 	base := rule.File{}
 	if n := m.store.newest(registry.AcceptedKey); n > 0 {
 		version := rapid.Int64Range(max(1, n-12), n).Draw(t, "base")
-		for m.alien[version] {
+		for m.foreign[version] {
 			version--
 		}
 		if version > 0 {
@@ -94,7 +95,7 @@
 			lines[at] = line
 		}
 	}
-	if rapid.IntRange(0, 9).Draw(t, "mistake") == 0 {
+	if rapid.IntRange(0, 9).Draw(t, "invalid line") == 0 {
 		lines = append(lines, "Path=/broken")
 	}
 	m.store[registry.SubmittedKey] = append(m.store[registry.SubmittedKey], strings.Join(lines, "\n"))
@@ -108,21 +109,21 @@
 	return a
 }
 
-// step lets a gateway do its next step, with a fault or without.
+// step executes the next step of a gateway, possibly with a fault.
 func (m *model) step(t *rapid.T, i int) {
 	c := m.gateways[i]
-	c.Notice(m.store.newest(registry.SubmittedKey))
+	c.ObserveSubmitted(m.store.newest(registry.SubmittedKey))
 	step := c.Next(time.Unix(1000, 0))
 	fault := "none"
 	if m.faults {
-		fault = rapid.SampledFrom([]string{"none", "none", "none", "lost", "applied", "late", "forget"}).Draw(t, "fault")
+		fault = rapid.SampledFrom([]string{"none", "none", "none", "request lost", "response lost", "write delayed", "invalidate"}).Draw(t, "fault")
 	}
 	if step.Action == registry.Write {
 		m.write(c, step, fault)
 		return
 	}
-	if fault == "forget" {
-		c.Forget()
+	if fault == "invalidate" {
+		c.Invalidate()
 	}
 	if fault != "none" {
 		return
@@ -130,7 +131,7 @@
 	switch step.Action {
 	default:
 	case registry.ReadAccepted:
-		m.take(c, m.store.newest(registry.AcceptedKey))
+		m.takeAccepted(c, m.store.newest(registry.AcceptedKey))
 	case registry.ReadSubmission:
 		_ = c.TakeSubmission(step.Version, m.store.get(registry.SubmittedKey, step.Version), nil)
 	case registry.ReadPrevious:
@@ -142,45 +143,45 @@
 
 func (m *model) write(c *registry.Core, step registry.Step, fault string) {
 	switch fault {
-	case "none", "forget":
+	case "none", "invalidate":
 		version, err := m.store.put(registry.AcceptedKey, string(step.Value), step.Version)
-		m.brought(c.Wrote(step, version, err))
-	case "applied":
+		m.recordChange(c.TakeWriteResult(step, version, err))
+	case "response lost":
 		_, _ = m.store.put(registry.AcceptedKey, string(step.Value), step.Version)
-		_, _, _ = c.Wrote(step, 0, errStore)
-	case "late":
-		m.late = append(m.late, step)
-		_, _, _ = c.Wrote(step, 0, errStore)
+		_, _, _ = c.TakeWriteResult(step, 0, errNoResponse)
+	case "write delayed":
+		m.delayedWrites = append(m.delayedWrites, step)
+		_, _, _ = c.TakeWriteResult(step, 0, errNoResponse)
 	default:
-		_, _, _ = c.Wrote(step, 0, errStore)
+		_, _, _ = c.TakeWriteResult(step, 0, errNoResponse)
 	}
 }
 
-func (m *model) brought(change rule.Change, ok bool, _ error) {
+func (m *model) recordChange(change rule.Change, ok bool, _ error) {
 	if ok {
-		m.spread = append(m.spread, change)
+		m.sentChanges = append(m.sentChanges, change)
 	}
 }
 
-// take hands a gateway a version of Rules/Accepted, old or new.
-func (m *model) take(c *registry.Core, version int64) {
-	m.brought(c.TakeAccepted(m.store.get(registry.AcceptedKey, version)))
+// takeAccepted passes a version of Rules/Accepted, current or old, to a gateway.
+func (m *model) takeAccepted(c *registry.Core, version int64) {
+	m.recordChange(c.TakeAccepted(m.store.get(registry.AcceptedKey, version)))
 }
 
 func (m *model) gateway(t *rapid.T) int {
-	return rapid.IntRange(0, fleet-1).Draw(t, "gateway")
+	return rapid.IntRange(0, fleetSize-1).Draw(t, "gateway")
 }
 
-// check compares every gateway and every version with what may be.
+// check verifies the invariants of every gateway and of every accepted version.
 func (m *model) check(t *rapid.T) {
 	files := map[int64]rule.File{0: {}}
 	previous := rule.Accepted{}
 	for version := int64(1); version <= m.store.newest(registry.AcceptedKey); version++ {
-		if m.alien[version] {
+		if m.foreign[version] {
 			continue
 		}
 		a := m.accepted(t, version)
-		if !m.alien[version-1] || a.Format() != previous.Format() {
+		if !m.foreign[version-1] || a.Format() != previous.Format() {
 			m.checkAcceptance(t, files, previous, a)
 		}
 		files[a.File.Generation] = a.File
@@ -189,41 +190,42 @@
 	for i, c := range m.gateways {
 		f := c.File()
 		if f.Generation < m.highest[i] {
-			t.Fatalf("gateway %d fell from generation %d to %d", i, m.highest[i], f.Generation)
+			t.Fatalf("gateway %d reverted from generation %d to %d", i, m.highest[i], f.Generation)
 		}
 		m.highest[i] = f.Generation
-		if seen := c.Seen(); seen > 0 && !m.alien[seen] && m.accepted(t, seen).File.Generation > f.Generation {
-			t.Fatalf("gateway %d takes version %d as seen, want less with generation %d", i, seen, f.Generation)
+		if seen := c.SyncedVersion(); seen > 0 && !m.foreign[seen] && m.accepted(t, seen).File.Generation > f.Generation {
+			t.Fatalf("gateway %d: got synced version %d, want a lower one with generation %d", i, seen, f.Generation)
 		}
 		if want, ok := files[f.Generation]; !ok || want.Digest() != f.Digest() {
-			t.Fatalf("gateway %d has in force as generation %d what was never accepted: %q", i, f.Generation, f.Format())
+			t.Fatalf("gateway %d: rules in force at generation %d were never accepted: %q", i, f.Generation, f.Format())
 		}
 	}
 }
 
-// checkAcceptance checks that one version follows from the one before by exactly
-// the next submission: what it changed against its base and nothing else.
+// checkAcceptance checks that a version results from the previous one by applying
+// exactly the next submission: the changes of the submission relative to its base, and
+// no others.
 func (m *model) checkAcceptance(t *rapid.T, files map[int64]rule.File, before, after rule.Accepted) {
 	if after.Submission != before.Submission+1 {
-		t.Fatalf("handled submission %d after %d", after.Submission, before.Submission)
+		t.Fatalf("got submission %d handled after %d, want the next one", after.Submission, before.Submission)
 	}
 	if grown := after.File.Generation - before.File.Generation; grown != 0 && grown != 1 {
-		t.Fatalf("generation grew by %d", grown)
+		t.Fatalf("generation increased by %d, want 0 or 1", grown)
 	}
 	s := rule.ParseSubmission(after.Submission, string(m.store.get(registry.SubmittedKey, after.Submission).Value))
 	base, submitted := rules(files[s.File.Generation]), rules(s.File)
 	old, now := rules(before.File), rules(after.File)
 	refused := slices.ContainsFunc(after.Refusals, func(r rule.Refusal) bool { return r.Submission == s.Version })
 	if slices.ContainsFunc(after.Refusals, func(r rule.Refusal) bool { return r.Problem.Code == code.RuleUnknownBase }) {
-		t.Fatalf("submission %d refused although its base is in the store", s.Version)
+		t.Fatalf("submission %d rejected for an unknown base, although the base is in the store", s.Version)
 	}
 	for i := range 6 {
 		path := fmt.Sprintf("/r%d", i)
 		switch {
 		case now[path] != old[path] && (now[path] != submitted[path] || submitted[path] == base[path] || old[path] != base[path]):
-			t.Fatalf("submission %d changed %s from %q to %q against its text", s.Version, path, old[path], now[path])
+			t.Fatalf("submission %d changed %s from %q to %q, want no change, since its text has none or a conflicting one", s.Version, path, old[path], now[path])
 		case now[path] != submitted[path] && submitted[path] != base[path] && !refused:
-			t.Fatalf("submission %d lost its change of %s to %q without a refusal", s.Version, path, submitted[path])
+			t.Fatalf("change of submission %d that sets %s to %q was neither applied nor rejected", s.Version, path, submitted[path])
 		}
 	}
 }
@@ -236,18 +238,18 @@
 	return services
 }
 
-// settle ends all faults: every gateway works off what there is and reads the
-// newest version.
+// settle stops all faults and checks that every gateway handles all submissions and
+// reaches the newest version.
 func (m *model) settle(t *rapid.T) {
 	m.faults = false
 	for i := range m.gateways {
-		m.take(m.gateways[i], m.store.newest(registry.AcceptedKey))
+		m.takeAccepted(m.gateways[i], m.store.newest(registry.AcceptedKey))
 		for n := 0; ; n++ {
 			if n > 1000 {
-				t.Fatalf("gateway %d does not come to rest", i)
+				t.Fatalf("gateway %d is not idle after 1000 steps", i)
 			}
 			c := m.gateways[i]
-			c.Notice(m.store.newest(registry.SubmittedKey))
+			c.ObserveSubmitted(m.store.newest(registry.SubmittedKey))
 			if c.Next(time.Unix(1000, 0)).Action == registry.Idle {
 				break
 			}
@@ -256,18 +258,19 @@
 	}
 	newest := m.store.newest(registry.AcceptedKey)
 	for i, c := range m.gateways {
-		m.take(c, newest)
+		m.takeAccepted(c, newest)
 		if newest > 0 && !c.File().Equal(m.accepted(t, newest).File) {
-			t.Fatalf("gateway %d ends with %q, want %q", i, c.File().Format(), m.accepted(t, newest).File.Format())
+			t.Fatalf("gateway %d: got final rules %q, want %q", i, c.File().Format(), m.accepted(t, newest).File.Format())
 		}
 	}
 	if newest > 0 && m.accepted(t, newest).Submission != m.store.newest(registry.SubmittedKey) {
-		t.Fatalf("submission %d is the last handled, want %d", m.accepted(t, newest).Submission, m.store.newest(registry.SubmittedKey))
+		t.Fatalf("got last handled submission %d, want %d", m.accepted(t, newest).Submission, m.store.newest(registry.SubmittedKey))
 	}
 }
 
-// TestAcceptanceModel runs racing operators against gateways that pause, restart,
-// lose answers, write late and hear from peers late, twice or never.
+// TestAcceptanceModel checks acceptance with concurrent operators and with gateways
+// that pause, restart, lose responses, have writes applied late, and receive changes
+// from peers late, repeatedly or never.
 func TestAcceptanceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
@@ -282,27 +285,27 @@
 			"step":   step,
 			"step2":  step,
 			"step3":  step,
-			"alien": func(t *rapid.T) {
-				// The first version must be good for there to be something to keep.
-				if n := m.store.newest(registry.AcceptedKey); n > 0 && rapid.IntRange(0, 3).Draw(t, "alien") == 0 {
+			"foreign write": func(t *rapid.T) {
+				// A repair needs at least one valid version to restore.
+				if n := m.store.newest(registry.AcceptedKey); n > 0 && rapid.IntRange(0, 3).Draw(t, "foreign write") == 0 {
 					m.store[registry.AcceptedKey] = append(m.store[registry.AcceptedKey], "{}")
-					m.alien[n+1] = true
+					m.foreign[n+1] = true
 				}
 			},
 			"late write": func(*rapid.T) {
-				for _, s := range m.late {
+				for _, s := range m.delayedWrites {
 					_, _ = m.store.put(registry.AcceptedKey, string(s.Value), s.Version)
 				}
-				m.late = nil
+				m.delayedWrites = nil
 			},
 			"watch": func(t *rapid.T) {
 				if n := m.store.newest(registry.AcceptedKey); n > 0 {
-					m.take(m.gateways[m.gateway(t)], rapid.Int64Range(1, n).Draw(t, "version"))
+					m.takeAccepted(m.gateways[m.gateway(t)], rapid.Int64Range(1, n).Draw(t, "version"))
 				}
 			},
 			"peer": func(t *rapid.T) {
-				if len(m.spread) > 0 {
-					change := rapid.SampledFrom(m.spread).Draw(t, "change")
+				if len(m.sentChanges) > 0 {
+					change := rapid.SampledFrom(m.sentChanges).Draw(t, "change")
 					m.gateways[m.gateway(t)].Receive(change)
 				}
 			},
@@ -322,7 +325,7 @@
 }
 
 func TestChangesOfPeersSaveReads(t *testing.T) {
-	convey.Convey("Given a gateway that read a version, and changes of a peer that read the next two", t, func() {
+	convey.Convey("Given a gateway that has read a version, and changes from a peer that has read the next two", t, func() {
 		object := func(generation, submission, version int64) mustardsaddle.Object {
 			a := rule.Accepted{File: fileOf(generation, fmt.Sprintf("Path=/a Service=S%d # Tan: a", generation)), Submission: submission}
 			return mustardsaddle.Object{Version: version, Value: []byte(a.Format())}
@@ -332,21 +335,21 @@
 		_, _, _ = c.TakeAccepted(object(1, 4, 20))
 		first, _, _ := peer.TakeAccepted(object(2, 5, 21))
 		second, _, _ := peer.TakeAccepted(object(3, 7, 23))
-		convey.Convey("In order, it has seen the version and has nothing to handle", func() {
+		convey.Convey("In order, they advance the synced version and leave nothing to handle", func() {
 			c.Receive(first)
 			c.Receive(second)
-			convey.So(c.Seen(), convey.ShouldEqual, 23)
-			convey.So(c.Notice(7), convey.ShouldBeFalse)
-			convey.So(c.Notice(8), convey.ShouldBeTrue)
+			convey.So(c.SyncedVersion(), convey.ShouldEqual, 23)
+			convey.So(c.ObserveSubmitted(7), convey.ShouldBeFalse)
+			convey.So(c.ObserveSubmitted(8), convey.ShouldBeTrue)
 		})
-		convey.Convey("In disorder, the early one is kept until the other has come", func() {
+		convey.Convey("Out of order, the second is buffered until the first has arrived", func() {
 			_, result := c.Receive(second)
 			convey.So(result, convey.ShouldEqual, rule.Gap)
-			brought, result := c.Receive(first)
+			applied, result := c.Receive(first)
 			convey.So(result, convey.ShouldEqual, rule.Applied)
-			convey.So(brought, convey.ShouldResemble, []rule.Change{first, second})
+			convey.So(applied, convey.ShouldResemble, []rule.Change{first, second})
 			convey.So(c.File().Generation, convey.ShouldEqual, 3)
-			convey.So(c.Seen(), convey.ShouldEqual, 23)
+			convey.So(c.SyncedVersion(), convey.ShouldEqual, 23)
 		})
 	})
 }
@@ -358,19 +361,19 @@
 		object mustardsaddle.Object
 		want   code.Code
 	}{
-		{"not ours", mustardsaddle.Object{Version: 9, Value: []byte("{}")}, code.StoreBadObject},
+		{"unknown format", mustardsaddle.Object{Version: 9, Value: []byte("{}")}, code.StoreBadObject},
 		{"newer format", mustardsaddle.Object{Version: 9, Value: []byte("# Format Accepted 2\n")}, code.StoreNewerFormat},
 		{"too large", mustardsaddle.Object{Version: 9, Value: make([]byte, 1<<20+1)}, code.StoreTooLarge},
 		{"older generation", mustardsaddle.Object{Version: 9, Value: []byte(rule.Accepted{File: fileOf(2)}.Format())}, code.StoreBadObject},
-		{"other rules of the generation", mustardsaddle.Object{Version: 9, Value: []byte(rule.Accepted{File: fileOf(3)}.Format())}, code.StoreBadObject},
-		{"late version", mustardsaddle.Object{Version: 2, Value: []byte(rule.Accepted{File: fileOf(2)}.Format())}, code.OK},
+		{"other rules at the same generation", mustardsaddle.Object{Version: 9, Value: []byte(rule.Accepted{File: fileOf(3)}.Format())}, code.StoreBadObject},
+		{"older version", mustardsaddle.Object{Version: 2, Value: []byte(rule.Accepted{File: fileOf(2)}.Format())}, code.OK},
 	} {
 		convey.Convey("Given a generation in force and the object: "+test.name, t, func() {
 			c := registry.NewCore()
 			_, _, err := c.TakeAccepted(mustardsaddle.Object{Version: 4, Value: []byte(good)})
 			convey.So(err, convey.ShouldBeNil)
-			_, brought, err := c.TakeAccepted(test.object)
-			convey.So(brought, convey.ShouldBeFalse)
+			_, changed, err := c.TakeAccepted(test.object)
+			convey.So(changed, convey.ShouldBeFalse)
 			convey.So(code.Of(err), convey.ShouldEqual, test.want)
 			convey.So(c.File().Generation, convey.ShouldEqual, 3)
 		})
--- a/internal/control/registry/follow.go
+++ b/internal/control/registry/follow.go
@@ -12,14 +12,14 @@
 	"mustardsaddle.example/mustardsaddle/internal/control/store"
 )
 
-// watch holds a watch on Rules/Submitted while this gateway is one of those that
-// do, and hands each new version to follow.
+// watch holds a watch on Rules/Submitted while this gateway is one of the watchers,
+// and passes each new version to follow.
 func (g *Registry) watch(ctx context.Context) {
 	version := int64(0)
 	failures := 0
 	for ctx.Err() == nil {
-		if !g.cfg.Watch() || g.large() {
-			if !store.Sleep(ctx, g.random(g.pollDelay)) {
+		if !g.cfg.Watch() || g.tooLargeToWatch() {
+			if !store.Sleep(ctx, g.withRNG(g.pollDelay)) {
 				return
 			}
 			continue
@@ -38,130 +38,134 @@
 		}
 		version = o.Version
 		select {
-		case g.submitted <- o:
+		case g.submissions <- o:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// large reports whether the rules are too large for a watch.
-func (g *Registry) large() bool {
+// tooLargeToWatch reports whether the rules exceed the size up to which watches are
+// held.
+func (g *Registry) tooLargeToWatch() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.size > maxWatchedBytes
+	return g.fileSize > maxWatchedBytes
 }
 
-// seen returns the highest version of Rules/Accepted that is in force.
-func (g *Registry) seen() int64 {
+// syncedVersion returns the highest version of Rules/Accepted that is known to contain
+// nothing newer than the rules in force.
+func (g *Registry) syncedVersion() int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.core.Seen()
+	return g.core.SyncedVersion()
 }
 
-// pollDelay returns the time to the next list. The caller holds mu.
+// pollDelay returns the time to the next poll. The caller holds mu.
 func (g *Registry) pollDelay(rng *rand.Rand) time.Duration {
-	if g.size > maxWatchedBytes && g.cfg.Watch() {
+	if g.fileSize > maxWatchedBytes && g.cfg.Watch() {
 		return jittered(rng, min(listInterval, g.cfg.Poll))
 	}
 	return PollDelay(rng, g.cfg.Poll, g.cfg.Fleet())
 }
 
 func (g *Registry) retryDelay(failures int) time.Duration {
-	return g.random(func(rng *rand.Rand) time.Duration { return g.retry.Delay(rng, failures) })
+	return g.withRNG(func(rng *rand.Rand) time.Duration { return g.retryBackoff.Delay(rng, failures) })
 }
 
-// follower is the state of the loop that acts on what the store shows.
+// follower is the state of the loop that processes watch responses and polls of the
+// store.
 type follower struct {
 	*Registry
-	// watched is the last submission that the watch has brought.
-	watched mustardsaddle.Object
-	// refused is the last version of Rules/Accepted that could not be used.
-	refused int64
-	// pollFailures and acceptFailures count failures in a row.
+	// watchedSubmission is the last submission received by the watch.
+	watchedSubmission mustardsaddle.Object
+	// unusableVersion is the last version of Rules/Accepted that was unusable.
+	unusableVersion int64
+	// pollFailures and acceptFailures count consecutive failures.
 	pollFailures, acceptFailures int
-	poll, accept                 *time.Timer
-	// waiting is true while accept runs.
-	waiting bool
+	pollTimer, acceptTimer       *time.Timer
+	// acceptScheduled is true while acceptTimer runs.
+	acceptScheduled bool
 }
 
-// follow acts on watches and slow reads until the context ends.
+// follow processes watch responses and polls until the context ends.
 func (g *Registry) follow(ctx context.Context) {
-	f := &follower{Registry: g, poll: time.NewTimer(g.random(func(rng *rand.Rand) time.Duration {
+	f := &follower{Registry: g, pollTimer: time.NewTimer(g.withRNG(func(rng *rand.Rand) time.Duration {
 		return StartDelay(rng, g.cfg.Fleet())
-	})), accept: time.NewTimer(time.Hour)}
-	f.accept.Stop()
-	defer f.poll.Stop()
-	defer f.accept.Stop()
+	})), acceptTimer: time.NewTimer(time.Hour)}
+	f.acceptTimer.Stop()
+	defer f.pollTimer.Stop()
+	defer f.acceptTimer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case f.watched = <-g.submitted:
-			f.notice(f.watched.Version)
-		case <-f.poll.C:
-			f.list(ctx)
-		case <-f.accept.C:
-			f.waiting = false
-			f.handle(ctx)
+		case f.watchedSubmission = <-g.submissions:
+			f.observeSubmitted(f.watchedSubmission.Version)
+		case <-f.pollTimer.C:
+			f.pollStore(ctx)
+		case <-f.acceptTimer.C:
+			f.acceptScheduled = false
+			f.processSubmissions(ctx)
 		}
 	}
 }
 
-// notice learns of a version of Rules/Submitted, and leaves it for a while to the
-// gateways that try first.
-func (f *follower) notice(version int64) {
+// observeSubmitted records a version of Rules/Submitted, and schedules its handling
+// after a delay that lets the gateways earlier in the order handle it first.
+func (f *follower) observeSubmitted(version int64) {
 	fleet := f.cfg.Fleet()
-	place := AcceptPlace(f.cfg.Rank(), fleet, version)
+	position := AcceptPosition(f.cfg.Rank(), fleet, version)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.core.Notice(version) && !f.core.Broken() || f.waiting {
+	if !f.core.ObserveSubmitted(version) && !f.core.NeedsRepair() || f.acceptScheduled {
 		return
 	}
-	if place > 0 {
-		// Another one has probably written: a read costs less than a conflict.
-		f.core.Forget()
+	if position > 0 {
+		// Another gateway has probably written it already: a read costs less than a
+		// conflict.
+		f.core.Invalidate()
 	}
-	f.schedule(AcceptDelay(f.rng, place, fleet))
+	f.schedule(AcceptDelay(f.rng, position, fleet))
 }
 
 func (f *follower) schedule(d time.Duration) {
-	f.waiting = true
-	f.accept.Reset(d)
+	f.acceptScheduled = true
+	f.acceptTimer.Reset(d)
 }
 
-// list makes one slow read: the versions of the rules' objects, and then the
-// value of Rules/Accepted if it is new.
-func (f *follower) list(ctx context.Context) {
+// pollStore performs one slow poll: it lists the versions of the rules objects, and
+// reads Rules/Accepted if its version is new.
+func (f *follower) pollStore(ctx context.Context) {
 	err := f.refresh(ctx)
 	if err == nil {
 		f.pollFailures = 0
-		f.poll.Reset(f.random(f.pollDelay))
+		f.pollTimer.Reset(f.withRNG(f.pollDelay))
 		return
 	}
 	f.pollFailures++
-	f.failed(ctx, err, f.pollFailures)
-	f.poll.Reset(f.retryDelay(f.pollFailures))
+	f.logFailure(ctx, err, f.pollFailures)
+	f.pollTimer.Reset(f.retryDelay(f.pollFailures))
 }
 
-// failed logs the first of several failures.
-func (f *follower) failed(ctx context.Context, err error, failures int) {
+// logFailure logs the first of several consecutive failures.
+func (f *follower) logFailure(ctx context.Context, err error, failures int) {
 	if failures == 1 && ctx.Err() == nil {
 		event.Warn(f.cfg.Logger, event.StoreFailed).Err(err).Int("Code", int(code.Of(err))).Send()
 	}
 }
 
 func (f *follower) refresh(ctx context.Context) error {
-	objects, err := f.cfg.Store.List(ctx, prefix)
+	objects, err := f.cfg.Store.List(ctx, keyPrefix)
 	if err != nil {
 		return err
 	}
 	for _, o := range objects {
 		switch {
 		case o.Key == SubmittedKey:
-			f.notice(o.Version)
-		case o.Key == AcceptedKey && o.Version > f.seen() && o.Version != f.refused:
-			if err := f.readNew(ctx); err != nil {
+			f.observeSubmitted(o.Version)
+		case o.Key == AcceptedKey && o.Version > f.syncedVersion() && o.Version != f.unusableVersion:
+			if err := f.readNewAccepted(ctx); err != nil {
 				return err
 			}
 		}
@@ -169,23 +173,23 @@
 	return nil
 }
 
-// readNew reads a new version of Rules/Accepted. One that can't be used is read
-// once, and repaired by the gateway whose turn it is.
-func (f *follower) readNew(ctx context.Context) error {
+// readNewAccepted reads a new version of Rules/Accepted. An unusable version is read
+// only once, and repaired by the first gateway in the order of acceptance.
+func (f *follower) readNewAccepted(ctx context.Context) error {
 	o, err := f.cfg.Store.Get(ctx, AcceptedKey)
 	if err != nil {
 		return err
 	}
-	if err := f.take(o); err != nil {
-		f.refused = o.Version
+	if err := f.takeAccepted(o); err != nil {
+		f.unusableVersion = o.Version
 		event.Warn(f.cfg.Logger, event.RulesIgnored).Err(err).Int("Code", int(code.Of(err))).Send()
 	}
-	f.notice(0)
+	f.observeSubmitted(0)
 	return nil
 }
 
-// handle handles the submissions known, one after another.
-func (f *follower) handle(ctx context.Context) {
+// processSubmissions handles the known submissions one after another.
+func (f *follower) processSubmissions(ctx context.Context) {
 	for ctx.Err() == nil {
 		f.mu.Lock()
 		step := f.core.Next(time.Now())
@@ -194,38 +198,38 @@
 			f.acceptFailures = 0
 			return
 		}
-		if err := f.perform(ctx, step); err != nil {
+		if err := f.execute(ctx, step); err != nil {
 			f.acceptFailures++
-			f.failed(ctx, err, f.acceptFailures)
+			f.logFailure(ctx, err, f.acceptFailures)
 			f.schedule(f.retryDelay(f.acceptFailures))
 			return
 		}
 	}
 }
 
-// perform does one step and hands its result to the core.
-func (f *follower) perform(ctx context.Context, step Step) error {
+// execute performs one step and passes its result to the core.
+func (f *follower) execute(ctx context.Context, step Step) error {
 	switch step.Action {
 	case ReadAccepted:
 		o, err := f.cfg.Store.Get(ctx, AcceptedKey)
 		if err != nil {
 			return err
 		}
-		return f.take(o)
+		return f.takeAccepted(o)
 	case ReadSubmission:
-		o, err := f.submission(ctx, step.Version)
+		o, err := f.readSubmission(ctx, step.Version)
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return f.core.TakeSubmission(step.Version, o, err)
 	case ReadBase, ReadPrevious:
-		return f.readOld(ctx, step)
+		return f.readOldVersion(ctx, step)
 	default:
 		return f.write(ctx, step)
 	}
 }
 
-// readOld reads an old version of Rules/Accepted.
-func (f *follower) readOld(ctx context.Context, step Step) error {
+// readOldVersion reads an old version of Rules/Accepted.
+func (f *follower) readOldVersion(ctx context.Context, step Step) error {
 	o, err := f.cfg.Store.GetVersion(ctx, AcceptedKey, step.Version)
 	if err != nil && code.Of(err) != code.StoreTooLarge {
 		return err
@@ -240,25 +244,25 @@
 	return nil
 }
 
-// submission returns a version of Rules/Submitted.
-func (f *follower) submission(ctx context.Context, version int64) (mustardsaddle.Object, error) {
-	if f.watched.Version == version {
-		return f.watched, nil
+// readSubmission returns a version of Rules/Submitted.
+func (f *follower) readSubmission(ctx context.Context, version int64) (mustardsaddle.Object, error) {
+	if f.watchedSubmission.Version == version {
+		return f.watchedSubmission, nil
 	}
 	return f.cfg.Store.GetVersion(ctx, SubmittedKey, version)
 }
 
-// write makes the write that accepts.
+// write performs the conditional write of Rules/Accepted.
 func (f *follower) write(ctx context.Context, step Step) error {
 	version, err := f.cfg.Store.Put(ctx, AcceptedKey, step.Value, step.Version)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	change, brought, failure := f.core.Wrote(step, version, err)
-	f.taken(change, brought)
+	change, changed, failure := f.core.TakeWriteResult(step, version, err)
+	f.applyChange(change, changed)
 	switch {
 	case err != nil:
 	case step.Decision.Handled:
-		f.accepted(step.Decision)
+		f.logDecision(step.Decision)
 	default:
 		event.Warn(f.cfg.Logger, event.RulesRepaired).Int64("Version", version).
 			Int64("Generation", step.Decision.Next.File.Generation).Send()
@@ -266,8 +270,8 @@
 	return failure
 }
 
-// accepted logs what became of a submission.
-func (f *follower) accepted(d rule.Decision) {
+// logDecision logs the outcome of a submission.
+func (f *follower) logDecision(d rule.Decision) {
 	event.Info(f.cfg.Logger, event.RulesAccepted).Int64("Submission", d.Next.Submission).
 		Int64("Generation", d.Next.File.Generation).Bool("Changed", d.Changed).Int("Refused", len(d.Refused)).Send()
 	for _, p := range d.Refused {
--- a/internal/control/registry/peer.go
+++ b/internal/control/registry/peer.go
@@ -2,45 +2,47 @@
 
 import "mustardsaddle.example/mustardsaddle/internal/control/rule"
 
-// Receive takes a change from a peer. It returns the changes that it brought,
-// since an early change is kept until the ones before it have come.
+// Receive applies a change from a peer. It returns the changes applied, which may be
+// several, since an out-of-order change is buffered until the changes before it have
+// arrived.
 func (c *Core) Receive(change rule.Change) ([]rule.Change, rule.Result) {
 	f, result := change.Apply(c.inForce)
 	switch result {
 	case rule.Gap:
-		if len(c.pending) < maxPending {
-			c.pending[change.From] = change
+		if len(c.earlyChanges) < maxEarlyChanges {
+			c.earlyChanges[change.From] = change
 		}
 		return nil, result
 	case rule.Applied:
 	default:
 		return nil, result
 	}
-	var brought []rule.Change
+	var applied []rule.Change
 	for result == rule.Applied {
-		c.pass(change.Submission)
-		brought = append(brought, change)
-		next := c.pending[change.To]
-		c.put(f)
+		c.recordHandled(change.Submission)
+		applied = append(applied, change)
+		next := c.earlyChanges[change.To]
+		c.setInForce(f)
 		change = next
 		f, result = change.Apply(c.inForce)
 	}
-	return brought, rule.Applied
+	return applied, rule.Applied
 }
 
-// pass notes that a submission is handled. Each write of Rules/Accepted handles
-// one, and raises the version by at least one.
-func (c *Core) pass(submission int64) {
-	if submission <= c.handled {
+// recordHandled records that a submission is handled. Each write of Rules/Accepted
+// handles one submission and raises the version by at least one, so syncedVersion can
+// advance by the same number.
+func (c *Core) recordHandled(submission int64) {
+	if submission <= c.lastHandled {
 		return
 	}
-	if c.seen > 0 {
-		c.seen += submission - c.handled
+	if c.syncedVersion > 0 {
+		c.syncedVersion += submission - c.lastHandled
 	}
-	c.handled = submission
+	c.lastHandled = submission
 }
 
-// ReceiveWhole takes the whole state from a peer.
+// ReceiveWhole applies the complete accepted state received from a peer.
 func (c *Core) ReceiveWhole(text string) (rule.Result, error) {
 	a, err := rule.ParseAccepted(text)
 	if err != nil {
@@ -49,19 +51,19 @@
 	if a.File.Generation <= c.inForce.Generation {
 		return rule.Stale, nil
 	}
-	c.pass(a.Submission)
-	c.put(a.File)
+	c.recordHandled(a.Submission)
+	c.setInForce(a.File)
 	return rule.Applied, nil
 }
 
-// put puts a file of a higher generation in force.
-func (c *Core) put(f rule.File) {
+// setInForce puts a file of a higher generation in force.
+func (c *Core) setInForce(f rule.File) {
 	c.inForce = f
 	c.recent = append(c.recent, f)
 	c.recent = c.recent[max(0, len(c.recent)-maxRecent):]
-	for from := range c.pending {
+	for from := range c.earlyChanges {
 		if from < f.Generation {
-			delete(c.pending, from)
+			delete(c.earlyChanges, from)
 		}
 	}
 }
--- a/internal/control/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry keeps the rules of one gateway in step with the platform's
-// store and with its peers. All gateways run it alike; none leads.
+// Package registry replicates the routing rules between one gateway, the platform's
+// object store and the gateway's peers. All gateways run it alike; there is no leader.
 //
 // # Usage
 //
@@ -12,26 +12,28 @@
 //
 // # Acceptance
 //
-// Operators write Rules/Submitted. Each version of it is handled in turn, by
-// whichever gateway comes first: the only act that accepts is the conditional
+// Operators write Rules/Submitted. Its versions are handled one after another, each by
+// the gateway that is first to do so. A submission is accepted only by the conditional
 // write of Rules/Accepted, which holds the rules, their generation and the last
-// submission handled. A write whose answer is lost is resolved by reading back.
+// submission handled. A write whose response is lost is resolved by reading the object
+// back.
 //
-// Only gateways write Rules/Accepted. If something else does, and the object can't
-// be used, a gateway finds the last good version in the object's history and writes
-// it again.
+// Only gateways write Rules/Accepted. If something else overwrites it with an unusable
+// object, a gateway finds the last valid version in the object's history and writes it
+// again.
 //
-// # What is in force
+// # Replication
 //
-// A gateway takes a generation only if it is higher than its own, from the store
-// or from a peer, so that its rules never revert. Changes travel from peer to
-// peer; a few gateways of each zone watch for submissions; and every gateway lists
-// the versions at a slow, jittered interval, which bounds its age even when every
-// watch and link has gone silent. A list costs a few hundred bytes whatever the
-// size of the rules. Since a watch brings the whole file, the gateways that hold
-// watches list more often instead once the file is large.
+// A gateway accepts a generation, from the store or from a peer, only if it is higher
+// than its own, so that its rules never revert. Changes are forwarded from peer to
+// peer, and a few gateways of each zone watch for submissions. In addition, every
+// gateway lists the object versions at a slow, jittered interval, which bounds the age
+// of its rules even if all watches and links have silently failed. A list costs a few
+// hundred bytes whatever the size of the rules. Since each watch response contains the
+// whole file, the watching gateways replace their watches by more frequent lists if
+// the file is large.
 //
-// The decisions are in Core, which performs no I/O.
+// Core makes the decisions and performs no I/O.
 package registry
 
 import (
@@ -49,49 +51,49 @@
 )
 
 const (
-	// defaultPoll is the interval of the slow reads of a small fleet. Two in a row
-	// fit into the time in which a change is in force.
+	// defaultPoll is the interval of slow polls in a small fleet. Two consecutive
+	// polls fit into the time in which a change has to be in force.
 	defaultPoll = 1500 * time.Millisecond
 	// maxWatchedBytes is the size of the rules above which no watch is held, since
-	// each one brings the whole file.
+	// each watch response contains the whole file.
 	maxWatchedBytes = 64 << 10
-	// listInterval is the interval of the reads that take a watch's place.
+	// listInterval is the interval of the lists that replace a watch.
 	listInterval = time.Second
-	// defaultStatus is how long changes are gathered for one status report.
-	defaultStatus = time.Second
+	// defaultStatusInterval is how long changes are batched into one status report.
+	defaultStatusInterval = time.Second
 )
 
-// Config configures a Registry. Its functions must not wait, nor call the
+// Config configures a Registry. Its functions must neither block nor call the
 // Registry.
 type Config struct {
-	// Name is the name of this gateway VM.
+	// Name is this gateway VM's name.
 	Name string
-	// Store is the platform's store.
+	// Store is the platform's object store.
 	Store mustardsaddle.Store
-	// StatusStore is the same store for calls that may be dropped; nil means
-	// Store.
+	// StatusStore is the same store, for low-priority calls that may be dropped; nil
+	// means Store.
 	StatusStore mustardsaddle.Store
-	// InForce takes each new table, in the order of generations.
+	// InForce is called with each new rule table, in the order of generations.
 	InForce func(*rule.Table)
 	// Spread sends a change to the peers.
 	Spread func(rule.Change)
-	// Rank returns this gateway's place, from 0, among the gateways of the fleet.
-	// It decides who tries first to accept a submission, and the first one reports
-	// for all; nil means 0.
+	// Rank returns this gateway's position, from 0, among the gateways of the fleet.
+	// It determines the order in which gateways try to accept a submission; the
+	// gateway of rank 0 writes the status reports for all. A nil Rank means 0.
 	Rank func() int
 	// Fleet returns the number of gateways; nil means 1.
 	Fleet func() int
 	// Watch reports whether this gateway watches for submissions; nil means that it
 	// does.
 	Watch func() bool
-	// Live returns the live gateway VMs with the generations that they told of, 0
-	// if unknown; nil means that the others are not known.
+	// Live returns the live gateway VMs with the generations that they have announced,
+	// 0 if unknown; nil means that the other gateways are not known.
 	Live func() []rule.VM
-	// Poll is the interval of slow reads; 0 means 1.5 s.
+	// Poll is the interval of slow polls; 0 means 1.5 s.
 	Poll time.Duration
-	// Status is how long changes are gathered for one status report; 0 means 1 s.
+	// Status is how long changes are batched into one status report; 0 means 1 s.
 	Status time.Duration
-	// Logger takes the log events.
+	// Logger receives the log events.
 	Logger zerolog.Logger
 	// Seed seeds the jitter.
 	Seed uint64
@@ -121,41 +123,41 @@
 		cfg.Poll = defaultPoll
 	}
 	if cfg.Status == 0 {
-		cfg.Status = defaultStatus
+		cfg.Status = defaultStatusInterval
 	}
 	return cfg
 }
 
-// Registry follows the rules for one gateway. It is safe for concurrent use.
+// Registry replicates the rules on one gateway. It is safe for concurrent use.
 type Registry struct {
 	cfg Config
-	// submitted are the submissions that the watch has brought.
-	submitted chan mustardsaddle.Object
-	// retry is the pause after a failed call.
-	retry store.Backoff
+	// submissions carries the submissions received by the watch.
+	submissions chan mustardsaddle.Object
+	// retryBackoff determines the delay after a failed call.
+	retryBackoff store.Backoff
 
 	mu    sync.Mutex
 	rng   *rand.Rand
 	core  *Core
 	table *rule.Table
-	// size is the size of the file in force.
-	size int
+	// fileSize is the size of the file in force.
+	fileSize int
 }
 
 // New returns a Registry without rules.
 func New(cfg Config) *Registry {
 	cfg = cfg.withDefaults()
 	return &Registry{
-		cfg:       cfg,
-		submitted: make(chan mustardsaddle.Object),
-		retry:     store.Backoff{Base: cfg.Poll / 10, Max: cfg.Poll / 2},
-		rng:       rand.New(rand.NewPCG(cfg.Seed, 2)),
-		core:      NewCore(),
-		table:     rule.Compile(rule.File{}),
+		cfg:          cfg,
+		submissions:  make(chan mustardsaddle.Object),
+		retryBackoff: store.Backoff{Base: cfg.Poll / 10, Max: cfg.Poll / 2},
+		rng:          rand.New(rand.NewPCG(cfg.Seed, 2)),
+		core:         NewCore(),
+		table:        rule.Compile(rule.File{}),
 	}
 }
 
-// Run follows the store until the context ends, then closes done.
+// Run synchronizes with the store until the context ends, then closes done.
 func (g *Registry) Run(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
 	store.RunAll(ctx, g.watch, g.report, g.follow)
@@ -168,7 +170,7 @@
 	return g.core.File().Generation
 }
 
-// Snapshot returns the whole rules in force for a peer that lacks them, and their
+// Snapshot returns the complete rules in force, for a peer that lacks them, and their
 // generation, 0 before there are any.
 func (g *Registry) Snapshot() (text string, generation int64) {
 	g.mu.Lock()
@@ -177,24 +179,25 @@
 	return a.Format(), a.File.Generation
 }
 
-// Receive takes a change from a peer and, if it is new, passes it on. On Gap the
-// change is kept: the caller asks a peer for the whole file if Generation is
-// still lower a moment later. On BadDigest it asks at once.
+// Receive applies a change from a peer and forwards it if it is new. If the result is
+// Gap, the change is buffered, and the caller requests the complete file from a peer
+// if Generation is still lower a moment later. If the result is BadDigest, the caller
+// requests it at once.
 func (g *Registry) Receive(_ time.Time, change rule.Change) rule.Result {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	brought, result := g.core.Receive(change)
-	for _, c := range brought {
+	applied, result := g.core.Receive(change)
+	for _, c := range applied {
 		g.cfg.Spread(c)
 	}
-	if len(brought) > 0 {
-		g.force("Peer")
+	if len(applied) > 0 {
+		g.activate("Peer")
 	}
 	return result
 }
 
-// ReceiveWhole takes the whole rules from a peer. The result is Applied, Stale,
-// or, with an error, BadDigest.
+// ReceiveWhole applies the complete rules received from a peer. The result is Applied,
+// Stale, or, with an error, BadDigest.
 func (g *Registry) ReceiveWhole(_ time.Time, text string) (rule.Result, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -203,42 +206,44 @@
 		event.Warn(g.cfg.Logger, event.RulesIgnored).Err(err).Send()
 	}
 	if result == rule.Applied {
-		g.force("PeerWhole")
+		g.activate("PeerWhole")
 	}
 	return result, err
 }
 
-// take takes a version of Rules/Accepted.
-func (g *Registry) take(o mustardsaddle.Object) error {
+// takeAccepted processes a version of Rules/Accepted.
+func (g *Registry) takeAccepted(o mustardsaddle.Object) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	change, brought, err := g.core.TakeAccepted(o)
-	g.taken(change, brought)
+	change, changed, err := g.core.TakeAccepted(o)
+	g.applyChange(change, changed)
 	return err
 }
 
-// taken acts on what a version of Rules/Accepted brought. The caller holds mu. A
-// whole file is not spread: a peer without rules asks for them.
-func (g *Registry) taken(change rule.Change, brought bool) {
-	if !brought {
+// applyChange activates and forwards the change that a version of Rules/Accepted
+// contained. The caller holds mu. The first complete file is not forwarded: peers
+// without rules request them.
+func (g *Registry) applyChange(change rule.Change, changed bool) {
+	if !changed {
 		return
 	}
-	g.force("Store")
+	g.activate("Store")
 	if change.From > 0 {
 		g.cfg.Spread(change)
 	}
 }
 
-// force hands out the table of the file in force. The caller holds mu.
-func (g *Registry) force(source string) {
+// activate passes the table of the file in force to Config.InForce. The caller holds
+// mu.
+func (g *Registry) activate(source string) {
 	g.table = g.table.Next(g.core.File())
-	g.size = g.table.File.Size()
+	g.fileSize = g.table.File.Size()
 	g.cfg.InForce(g.table)
 	event.Info(g.cfg.Logger, event.RulesInForce).Int64("Generation", g.core.File().Generation).Str("Source", source).Send()
 }
 
-// random calls f with the random source.
-func (g *Registry) random(f func(*rand.Rand) time.Duration) time.Duration {
+// withRNG calls f with the random number generator.
+func (g *Registry) withRNG(f func(*rand.Rand) time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return f(g.rng)
--- a/internal/control/registry/registry_test.go
+++ b/internal/control/registry/registry_test.go
@@ -18,14 +18,16 @@
 	"mustardsaddle.example/mustardsaddle/internal/standin/platform"
 )
 
-// promised is the time within which an accepted change is in force everywhere.
-const promised = 5 * time.Second
+// propagationLimit is the specified time within which an accepted change must be in
+// force on every gateway.
+const propagationLimit = 5 * time.Second
 
-// patience bounds waits for what has no promised time.
-const patience = 30 * time.Second
+// waitLimit bounds waits for conditions that have no specified time limit.
+const waitLimit = 30 * time.Second
 
-// group is a fleet of registries on one platform, linked to each other.
-type group struct {
+// testFleet is a fleet of registries that share one platform and are linked to each
+// other.
+type testFleet struct {
 	platform *platform.Platform
 	members  []*member
 }
@@ -33,14 +35,14 @@
 type member struct {
 	*registry.Registry
 	client *store.Client
-	// inbox holds the changes of peers; a silent link drops them.
+	// inbox holds the changes from peers; an isolated member discards them.
 	inbox chan rule.Change
 
 	mu          sync.Mutex
 	generations []int64
 }
 
-// generation returns what is in force, or -1 if it ever fell.
+// generation returns the generation in force, or -1 if it ever decreased.
 func (m *member) generation() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -54,48 +56,48 @@
 	return last
 }
 
-// shape says what a group is like.
-type shape struct {
+// fleetOptions configures a testFleet.
+type fleetOptions struct {
 	size int
-	// watchers is how many members hold watches.
+	// watchers is the number of members that hold watches.
 	watchers int
-	// silent says which members hear nothing from peers.
-	silent func(i int) bool
-	// deaf says which members hold watches that never end.
-	deaf  func(i int) bool
-	fault platform.Fault
-	// sameRank makes all members try to accept at once.
+	// isolated reports whether a member receives nothing from its peers.
+	isolated func(i int) bool
+	// stalled reports whether the watches of a member never return.
+	stalled func(i int) bool
+	fault   platform.Fault
+	// sameRank gives all members rank 0, so that they try to accept at the same time.
 	sameRank bool
-	// snapshot is handed to each member at its start, as by a peer.
+	// snapshot is passed to each member at its start, as if received from a peer.
 	snapshot string
 }
 
-// silentWatch is a store whose watches have lost their connection.
-type silentWatch struct {
+// stalledWatchStore is a store whose watches never return a change.
+type stalledWatchStore struct {
 	mustardsaddle.Store
 }
 
-// Watch waits for the end of the context.
-func (silentWatch) Watch(ctx context.Context, _ string, _ int64) (mustardsaddle.Object, error) {
+// Watch blocks until the context ends.
+func (stalledWatchStore) Watch(ctx context.Context, _ string, _ int64) (mustardsaddle.Object, error) {
 	<-ctx.Done()
 	return mustardsaddle.Object{}, ctx.Err()
 }
 
-// startGroup runs a group until the test ends.
-func startGroup(t *testing.T, s shape) *group {
-	g := &group{platform: platform.New(platform.Config{})}
+// startFleet runs a fleet until the test ends.
+func startFleet(t *testing.T, s fleetOptions) *testFleet {
+	g := &testFleet{platform: platform.New(platform.Config{})}
 	g.platform.SetFault(s.fault)
 	server := httptest.NewServer(g.platform.Handler())
 	ctx, cancel := context.WithCancel(context.Background())
-	var ends []chan struct{}
+	var done []chan struct{}
 	for i := range s.size {
 		m := &member{
 			client: store.New(store.Config{URL: server.URL, Fleet: s.size, Seed: uint64(i)}),
 			inbox:  make(chan rule.Change, 100),
 		}
 		var objects mustardsaddle.Store = m.client
-		if s.deaf != nil && s.deaf(i) {
-			objects = silentWatch{Store: m.client}
+		if s.stalled != nil && s.stalled(i) {
+			objects = stalledWatchStore{Store: m.client}
 		}
 		m.Registry = registry.New(registry.Config{
 			Name: fmt.Sprintf("gateway-%02d", i), Store: objects, StatusStore: m.client.For(store.Status), Seed: uint64(i),
@@ -121,14 +123,14 @@
 		if s.snapshot != "" {
 			_, _ = m.ReceiveWhole(time.Now(), s.snapshot)
 		}
-		linked, run := make(chan struct{}), make(chan struct{})
-		go m.link(ctx, linked, s.silent != nil && s.silent(i))
-		go m.Run(ctx, run)
-		ends = append(ends, linked, run)
+		linkDone, runDone := make(chan struct{}), make(chan struct{})
+		go m.link(ctx, linkDone, s.isolated != nil && s.isolated(i))
+		go m.Run(ctx, runDone)
+		done = append(done, linkDone, runDone)
 	}
 	t.Cleanup(func() {
 		cancel()
-		for _, end := range ends {
+		for _, end := range done {
 			<-end
 		}
 		for _, m := range g.members {
@@ -139,8 +141,8 @@
 	return g
 }
 
-// live returns all members with their generations, as heard on the links.
-func (g *group) live() []rule.VM {
+// live returns all members with their generations, as announced over the links.
+func (g *testFleet) live() []rule.VM {
 	var vms []rule.VM
 	for i, m := range g.members {
 		vms = append(vms, rule.VM{Name: fmt.Sprintf("gateway-%02d", i), Generation: m.generation()})
@@ -148,8 +150,8 @@
 	return vms
 }
 
-// spread sends a change to the next three members.
-func (g *group) spread(from int) func(rule.Change) {
+// spread returns a function that sends a change to the next three members.
+func (g *testFleet) spread(from int) func(rule.Change) {
 	return func(c rule.Change) {
 		for hop := 1; hop <= 3; hop++ {
 			select {
@@ -160,22 +162,22 @@
 	}
 }
 
-func (m *member) link(ctx context.Context, done chan<- struct{}, silent bool) {
+func (m *member) link(ctx context.Context, done chan<- struct{}, isolated bool) {
 	defer close(done)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case c := <-m.inbox:
-			if !silent {
+			if !isolated {
 				m.Receive(time.Now(), c)
 			}
 		}
 	}
 }
 
-// submit edits the newest accepted rules by adding lines.
-func (g *group) submit(lines ...string) {
+// submit submits the newest accepted rules with lines added.
+func (g *testFleet) submit(lines ...string) {
 	base := rule.File{}
 	if history := g.platform.History(registry.AcceptedKey); len(history) > 0 {
 		a, _ := rule.ParseAccepted(string(history[len(history)-1]))
@@ -188,7 +190,8 @@
 	g.platform.Put(registry.SubmittedKey, []byte(text), -1)
 }
 
-// await waits until a condition holds, and returns how long that took.
+// await waits until a condition holds or the limit has passed, and returns the time
+// taken.
 func await(limit time.Duration, condition func() bool) time.Duration {
 	started := time.Now()
 	for !condition() && time.Since(started) < limit {
@@ -197,8 +200,9 @@
 	return time.Since(started)
 }
 
-// everywhere returns whether every member has the generation in force.
-func (g *group) everywhere(generation int64) func() bool {
+// inForceEverywhere returns a condition that holds while every member has the
+// generation in force.
+func (g *testFleet) inForceEverywhere(generation int64) func() bool {
 	return func() bool {
 		for _, m := range g.members {
 			if m.generation() != generation {
@@ -209,7 +213,7 @@
 	}
 }
 
-func line(i int) string {
+func ruleLine(i int) string {
 	return fmt.Sprintf("Path=/r%d Service=S # Tan: rule %d", i, i)
 }
 
@@ -217,49 +221,49 @@
 	all := func(int) bool { return true }
 	only := func(n int) func(int) bool { return func(i int) bool { return i == n } }
 	for _, test := range []struct {
-		name  string
-		shape shape
-		after platform.Fault
+		name    string
+		options fleetOptions
+		after   platform.Fault
 	}{
-		{"with watches and links", shape{size: 17, watchers: 6}, platform.Fault{}},
-		{"one watch silent and one link silent", shape{size: 17, watchers: 2, deaf: only(0), silent: only(9)}, platform.Fault{}},
-		{"every watch and every link silent", shape{size: 17, watchers: 6, deaf: all, silent: all}, platform.Fault{}},
-		{"answers of writes lost", shape{size: 17, watchers: 6}, platform.Fault{LoseAnswers: true}},
-		{"a slow store", shape{size: 17, watchers: 6}, platform.Fault{Delay: 200 * time.Millisecond}},
+		{"with watches and links", fleetOptions{size: 17, watchers: 6}, platform.Fault{}},
+		{"one watch stalled and one member isolated", fleetOptions{size: 17, watchers: 2, stalled: only(0), isolated: only(9)}, platform.Fault{}},
+		{"all watches stalled and all members isolated", fleetOptions{size: 17, watchers: 6, stalled: all, isolated: all}, platform.Fault{}},
+		{"responses of writes lost", fleetOptions{size: 17, watchers: 6}, platform.Fault{LoseAnswers: true}},
+		{"slow store", fleetOptions{size: 17, watchers: 6}, platform.Fault{Delay: 200 * time.Millisecond}},
 	} {
 		convey.Convey("Given a fleet with rules in force: "+test.name, t, func() {
-			g := startGroup(t, test.shape)
-			g.submit(line(1))
-			await(patience, g.everywhere(1))
+			g := startFleet(t, test.options)
+			g.submit(ruleLine(1))
+			await(waitLimit, g.inForceEverywhere(1))
 			g.platform.SetFault(test.after)
-			g.submit(line(2))
-			took := await(patience, g.everywhere(2))
+			g.submit(ruleLine(2))
+			took := await(waitLimit, g.inForceEverywhere(2))
 			t.Logf("%s: in force everywhere after %s", test.name, took)
-			convey.So(g.everywhere(2)(), convey.ShouldBeTrue)
-			convey.So(took, convey.ShouldBeLessThan, promised)
+			convey.So(g.inForceEverywhere(2)(), convey.ShouldBeTrue)
+			convey.So(took, convey.ShouldBeLessThan, propagationLimit)
 		})
 	}
 }
 
 func TestOutageAndRecovery(t *testing.T) {
-	convey.Convey("Given a fleet with rules, and a store that goes down", t, func() {
+	convey.Convey("Given a fleet with rules, and a store that becomes unavailable", t, func() {
 		const outage = 6 * time.Second
-		g := startGroup(t, shape{size: 17, watchers: 6})
-		g.submit(line(1))
-		await(patience, g.everywhere(1))
+		g := startFleet(t, fleetOptions{size: 17, watchers: 6})
+		g.submit(ruleLine(1))
+		await(waitLimit, g.inForceEverywhere(1))
 		g.platform.SetFault(platform.Fault{Down: true})
 		before := g.platform.Counts()
-		g.submit(line(2))
-		g.submit(line(3))
+		g.submit(ruleLine(2))
+		g.submit(ruleLine(3))
 		g.submit("Path=/broken")
 		time.Sleep(outage)
 		during := g.platform.Counts()
-		convey.So(g.everywhere(1)(), convey.ShouldBeTrue)
+		convey.So(g.inForceEverywhere(1)(), convey.ShouldBeTrue)
 		g.platform.SetFault(platform.Fault{CallsPerSecond: 100})
-		took := await(patience, g.everywhere(3))
-		convey.Convey("Every submission is handled in order, and no call of the outage is made up for", func() {
-			convey.So(g.everywhere(3)(), convey.ShouldBeTrue)
-			await(patience, func() bool { return len(g.platform.History(registry.AcceptedKey)) == 4 })
+		took := await(waitLimit, g.inForceEverywhere(3))
+		convey.Convey("Every submission is handled in order, and calls that failed during the outage cause no burst afterwards", func() {
+			convey.So(g.inForceEverywhere(3)(), convey.ShouldBeTrue)
+			await(waitLimit, func() bool { return len(g.platform.History(registry.AcceptedKey)) == 4 })
 			history := g.platform.History(registry.AcceptedKey)
 			a, err := rule.ParseAccepted(string(history[len(history)-1]))
 			convey.So(err, convey.ShouldBeNil)
@@ -278,35 +282,35 @@
 }
 
 func TestColdFleetWithASlowStore(t *testing.T) {
-	convey.Convey("Given rules in a store that is slow and refuses above 200 calls a second", t, func() {
-		g := startGroup(t, shape{size: 17, watchers: 6, fault: platform.Fault{Delay: time.Second, CallsPerSecond: 200}})
-		g.platform.Put(registry.AcceptedKey, []byte(rule.Accepted{File: fileOf(7, line(1)), Submission: 9}.Format()), -1)
-		took := await(patience, g.everywhere(7))
+	convey.Convey("Given rules in a store that is slow and rejects more than 200 calls per second", t, func() {
+		g := startFleet(t, fleetOptions{size: 17, watchers: 6, fault: platform.Fault{Delay: time.Second, CallsPerSecond: 200}})
+		g.platform.Put(registry.AcceptedKey, []byte(rule.Accepted{File: fileOf(7, ruleLine(1)), Submission: 9}.Format()), -1)
+		took := await(waitLimit, g.inForceEverywhere(7))
 		counts := g.platform.Counts()
-		t.Logf("cold fleet of 17: rules everywhere after %s with %+v", took, counts)
-		convey.So(g.everywhere(7)(), convey.ShouldBeTrue)
+		t.Logf("cold start of 17 gateways: rules in force everywhere after %s with %+v", took, counts)
+		convey.So(g.inForceEverywhere(7)(), convey.ShouldBeTrue)
 		convey.So(counts.Refused, convey.ShouldEqual, 0)
 	})
 }
 
 func TestStartFromAPeerWithTheStoreDown(t *testing.T) {
-	convey.Convey("Given a store that is down and a peer's snapshot", t, func() {
-		first := startGroup(t, shape{size: 1, watchers: 1})
-		first.submit(line(1))
-		await(patience, first.everywhere(1))
+	convey.Convey("Given a store that is unavailable and a snapshot from a peer", t, func() {
+		first := startFleet(t, fleetOptions{size: 1, watchers: 1})
+		first.submit(ruleLine(1))
+		await(waitLimit, first.inForceEverywhere(1))
 		text, generation := first.members[0].Snapshot()
 		convey.So(generation, convey.ShouldEqual, 1)
-		g := startGroup(t, shape{size: 2, watchers: 1, fault: platform.Fault{Down: true}, snapshot: text})
-		convey.So(g.everywhere(1)(), convey.ShouldBeTrue)
-		convey.Convey("An empty store that comes back takes nothing away", func() {
+		g := startFleet(t, fleetOptions{size: 2, watchers: 1, fault: platform.Fault{Down: true}, snapshot: text})
+		convey.So(g.inForceEverywhere(1)(), convey.ShouldBeTrue)
+		convey.Convey("The rules stay in force when the store becomes available without any", func() {
 			g.platform.SetFault(platform.Fault{})
-			g.submit(line(2))
+			g.submit(ruleLine(2))
 			reads := g.platform.Counts().Reads
-			await(patience, func() bool { return g.platform.Counts().Reads > reads+4 })
-			convey.So(g.everywhere(1)(), convey.ShouldBeTrue)
+			await(waitLimit, func() bool { return g.platform.Counts().Reads > reads+4 })
+			convey.So(g.inForceEverywhere(1)(), convey.ShouldBeTrue)
 			convey.So(g.platform.History(registry.AcceptedKey), convey.ShouldBeEmpty)
 		})
-		convey.Convey("Rubbish and old files change nothing", func() {
+		convey.Convey("Invalid and outdated snapshots change nothing", func() {
 			m := g.members[0]
 			_, err := m.ReceiveWhole(time.Now(), "{}")
 			convey.So(code.Of(err), convey.ShouldEqual, code.StoreBadObject)
@@ -318,16 +322,16 @@
 }
 
 func TestOperatorsReadBackWhatIsInForce(t *testing.T) {
-	convey.Convey("Given a submission with a rule that conflicts", t, func() {
-		g := startGroup(t, shape{size: 3, watchers: 2})
-		g.submit(line(1))
-		await(patience, g.everywhere(1))
+	convey.Convey("Given a submission with a conflicting rule", t, func() {
+		g := startFleet(t, fleetOptions{size: 3, watchers: 2})
+		g.submit(ruleLine(1))
+		await(waitLimit, g.inForceEverywhere(1))
 		g.platform.Put(registry.SubmittedKey, []byte("# Generation 1\nPath=/r1 Service=T # Tan: one"), -1)
-		await(patience, g.everywhere(2))
-		g.platform.Put(registry.SubmittedKey, []byte("# Generation 1\nPath=/r1 Service=U # Mei Lin: other\n"+line(2)), -1)
-		await(patience, g.everywhere(3))
+		await(waitLimit, g.inForceEverywhere(2))
+		g.platform.Put(registry.SubmittedKey, []byte("# Generation 1\nPath=/r1 Service=U # Mei Lin: other\n"+ruleLine(2)), -1)
+		await(waitLimit, g.inForceEverywhere(3))
 		var status rule.InForce
-		await(patience, func() bool {
+		await(waitLimit, func() bool {
 			history := g.platform.History(registry.InForceKey)
 			if len(history) == 0 {
 				return false
@@ -344,41 +348,41 @@
 }
 
 func TestAlienObjectIsRepaired(t *testing.T) {
-	older := rule.Accepted{File: fileOf(1, line(9)), Submission: 1}.Format()
+	older := rule.Accepted{File: fileOf(1, ruleLine(9)), Submission: 1}.Format()
 	for _, test := range []struct{ name, text string }{
-		{"rubbish", "{}"},
+		{"invalid data", "{}"},
 		{"an older generation", older},
-		{"the file of an operator", "# Generation 2\n" + line(7)},
+		{"an operator's rules file", "# Generation 2\n" + ruleLine(7)},
 	} {
 		convey.Convey("Given rules in force and, in Rules/Accepted, "+test.name, t, func() {
-			g := startGroup(t, shape{size: 3, watchers: 1})
-			g.submit(line(1))
-			await(patience, g.everywhere(1))
-			g.submit(line(2))
-			await(patience, g.everywhere(2))
+			g := startFleet(t, fleetOptions{size: 3, watchers: 1})
+			g.submit(ruleLine(1))
+			await(waitLimit, g.inForceEverywhere(1))
+			g.submit(ruleLine(2))
+			await(waitLimit, g.inForceEverywhere(2))
 			history := g.platform.History(registry.AcceptedKey)
 			good := string(history[len(history)-1])
 			g.platform.Put(registry.AcceptedKey, []byte(test.text), -1)
-			await(patience, func() bool { return len(g.platform.History(registry.AcceptedKey)) > len(history)+1 })
+			await(waitLimit, func() bool { return len(g.platform.History(registry.AcceptedKey)) > len(history)+1 })
 			convey.So(string(g.platform.History(registry.AcceptedKey)[len(history)+1]), convey.ShouldEqual, good)
-			g.submit(line(3))
-			await(patience, g.everywhere(3))
-			convey.So(g.everywhere(3)(), convey.ShouldBeTrue)
+			g.submit(ruleLine(3))
+			await(waitLimit, g.inForceEverywhere(3))
+			convey.So(g.inForceEverywhere(3)(), convey.ShouldBeTrue)
 		})
 	}
 }
 
 func TestRacingOperatorsThroughFaults(t *testing.T) {
-	convey.Convey("Given operators who race while the store loses answers and goes down", t, func() {
+	convey.Convey("Given concurrent operators while the store loses responses and becomes unavailable", t, func() {
 		const operators, changes = 3, 8
-		g := startGroup(t, shape{size: 5, watchers: 5, sameRank: true})
+		g := startFleet(t, fleetOptions{size: 5, watchers: 5, sameRank: true})
 		g.submit("Path=/start Service=S # Tan: start")
-		await(patience, g.everywhere(1))
+		await(waitLimit, g.inForceEverywhere(1))
 		ended := make(chan struct{})
 		for operator := range operators {
 			go func() {
 				for n := range changes {
-					g.submit(line(operator*changes + n))
+					g.submit(ruleLine(operator*changes + n))
 					time.Sleep(20 * time.Millisecond)
 				}
 				ended <- struct{}{}
@@ -392,9 +396,9 @@
 		for range operators {
 			<-ended
 		}
-		await(patience, g.everywhere(1+operators*changes))
-		convey.Convey("Every line is in force on every gateway, and no gateway fell back", func() {
-			convey.So(g.everywhere(1+operators*changes)(), convey.ShouldBeTrue)
+		await(waitLimit, g.inForceEverywhere(1+operators*changes))
+		convey.Convey("Every line is in force on every gateway, and no generation ever decreased", func() {
+			convey.So(g.inForceEverywhere(1+operators*changes)(), convey.ShouldBeTrue)
 			text, _ := g.members[0].Snapshot()
 			a, err := rule.ParseAccepted(text)
 			convey.So(err, convey.ShouldBeNil)
--- a/internal/control/registry/repair.go
+++ b/internal/control/registry/repair.go
@@ -5,40 +5,40 @@
 	"mustardsaddle.example/mustardsaddle/internal/control/rule"
 )
 
-// repair is a version of Rules/Accepted that can't be used, because something
-// else wrote it, on its way to be replaced by the last good one.
+// repair is the state of replacing an unusable version of Rules/Accepted, which was
+// not written by a gateway, by the last valid one.
 type repair struct {
-	// version is the bad version, and previous the one to read next.
-	version, previous int64
-	// good is the last good state, once it is found.
-	good *rule.Accepted
+	// version is the unusable version, and candidate the version to read next.
+	version, candidate int64
+	// lastValid is the last valid state, once it is found.
+	lastValid *rule.Accepted
 }
 
-// maxPrevious is how many versions a repair looks back.
+// maxPrevious is how many versions a repair searches backwards.
 const maxPrevious = 64
 
 func (r *repair) next() Step {
 	switch {
-	case r.good != nil:
-		d := rule.Decision{Next: *r.good}
-		return Step{Action: Write, Version: r.version, Value: []byte(r.good.Format()), Decision: d}
-	case r.previous < max(1, r.version-maxPrevious):
+	case r.lastValid != nil:
+		d := rule.Decision{Next: *r.lastValid}
+		return Step{Action: Write, Version: r.version, Value: []byte(r.lastValid.Format()), Decision: d}
+	case r.candidate < max(1, r.version-maxPrevious):
 		return Step{Action: Idle}
 	default:
-		return Step{Action: ReadPrevious, Version: r.previous}
+		return Step{Action: ReadPrevious, Version: r.candidate}
 	}
 }
 
-// TakePrevious takes an older version of Rules/Accepted. The newest one that can
-// be used is written again.
+// TakePrevious processes an older version of Rules/Accepted. The newest valid one is
+// written again.
 func (c *Core) TakePrevious(version int64, o mustardsaddle.Object) {
 	if c.repair == nil {
 		return
 	}
 	a, err := rule.ParseAccepted(string(o.Value))
-	if o.Version == 0 || err != nil || c.check(a) != nil {
-		c.repair.previous = version - 1
+	if o.Version == 0 || err != nil || c.checkConsistency(a) != nil {
+		c.repair.candidate = version - 1
 		return
 	}
-	c.repair.good = &a
+	c.repair.lastValid = &a
 }
--- a/internal/control/registry/status.go
+++ b/internal/control/registry/status.go
@@ -15,36 +15,37 @@
 )
 
 const (
-	// statusBytesPerSecond bounds the reports, which hold the whole file.
+	// statusBytesPerSecond bounds the transfer rate of status reports, each of which
+	// contains the whole file.
 	statusBytesPerSecond = 8 << 10
-	// maxStatusPause is the longest pause between tries while the store fails.
-	maxStatusPause = 30 * time.Second
+	// maxStatusBackoff is the maximum delay between attempts while the store fails.
+	maxStatusBackoff = 30 * time.Second
 )
 
-// reporter keeps Rules/InForce up to date. Reports are gathered, sent from the
-// first gateway for all, and give way to everything else: one that fails is not
-// sent again but made anew later.
+// reporter keeps Rules/InForce up to date. Changes are batched, and the gateway of
+// rank 0 reports for the fleet. Reports have the lowest priority: a failed one is not
+// retried, but a new one is composed later.
 type reporter struct {
 	*Registry
 	limiter *rate.Limiter
 	backoff store.Backoff
-	// written is the report as last read or written, at version; version is -1
-	// when it must be read.
-	written  rule.InForce
-	version  int64
-	failures int
+	// lastReport is the report as last read or written, at version; version is -1 if
+	// the report must be read.
+	lastReport rule.InForce
+	version    int64
+	failures   int
 }
 
-// report reports until the context ends.
+// report writes status reports until the context ends.
 func (g *Registry) report(ctx context.Context) {
 	r := &reporter{
 		Registry: g,
 		limiter:  rate.NewLimiter(statusBytesPerSecond, rule.MaxFileBytes),
-		backoff:  store.Backoff{Base: g.cfg.Status, Max: maxStatusPause},
+		backoff:  store.Backoff{Base: g.cfg.Status, Max: maxStatusBackoff},
 		version:  -1,
 	}
-	for store.Sleep(ctx, r.pause()) {
-		err := r.once(ctx)
+	for store.Sleep(ctx, r.nextDelay()) {
+		err := r.update(ctx)
 		if err == nil {
 			r.failures = 0
 			continue
@@ -57,8 +58,8 @@
 	}
 }
 
-func (r *reporter) pause() time.Duration {
-	return r.random(func(rng *rand.Rand) time.Duration {
+func (r *reporter) nextDelay() time.Duration {
+	return r.withRNG(func(rng *rand.Rand) time.Duration {
 		if r.failures > 0 {
 			return r.backoff.Delay(rng, r.failures)
 		}
@@ -66,14 +67,14 @@
 	})
 }
 
-// once brings Rules/InForce up to date by one conditional write, unless it is or
-// another gateway does it.
-func (r *reporter) once(ctx context.Context) error {
+// update brings Rules/InForce up to date by one conditional write, unless the report
+// is current or another gateway is responsible.
+func (r *reporter) update(ctx context.Context) error {
 	if r.cfg.Live != nil && r.cfg.Rank() > 0 {
 		r.version = -1
 		return nil
 	}
-	a, vms, latest := r.state()
+	a, vms, latest := r.reportState()
 	switch {
 	case len(vms) == 0 || r.version >= 0 && latest && r.upToDate(a, vms):
 		return nil
@@ -90,36 +91,39 @@
 	return r.write(ctx, a, vms)
 }
 
-// spend takes the bytes of a call, if need be before they are there.
-func (r *reporter) spend(n int) {
+// reserveBytes deducts the bytes of a call from the rate limit, even if they exceed
+// what is available.
+func (r *reporter) reserveBytes(n int) {
 	r.limiter.ReserveN(time.Now(), n)
 }
 
-// readAccepted reads the accepted state, of which peers bring the rules alone.
+// readAccepted reads the accepted state. It is needed because peers send only the
+// rules.
 func (r *reporter) readAccepted(ctx context.Context) error {
 	o, err := r.cfg.StatusStore.Get(ctx, AcceptedKey)
 	if err != nil {
 		return err
 	}
-	r.spend(len(o.Value))
-	return r.take(o)
+	r.reserveBytes(len(o.Value))
+	return r.takeAccepted(o)
 }
 
-// upToDate reports whether the report as known says what there is to say.
+// upToDate reports whether the last known report already contains the given state.
 func (r *reporter) upToDate(a rule.Accepted, vms []rule.VM) bool {
-	return r.written.Has(a, vms) && len(r.written.WithOnly(r.live()).VMs) == len(r.written.VMs)
+	return r.lastReport.Has(a, vms) && len(r.lastReport.WithOnly(r.liveFilter()).VMs) == len(r.lastReport.VMs)
 }
 
-// read reads the report, of this gateway or another one.
+// read reads the report, which another gateway may have written.
 func (r *reporter) read(ctx context.Context) error {
 	o, err := r.cfg.StatusStore.Get(ctx, InForceKey)
 	if err != nil {
 		return err
 	}
-	r.spend(len(o.Value))
-	r.written, err = rule.ParseInForce(string(o.Value))
+	r.reserveBytes(len(o.Value))
+	r.lastReport, err = rule.ParseInForce(string(o.Value))
 	if code.Of(err) == code.StoreNewerFormat {
-		// A newer gateway reports; an older one must not undo that.
+		// A gateway with a newer format writes the reports; this one must not
+		// overwrite them.
 		return err
 	}
 	r.version = o.Version
@@ -127,23 +131,24 @@
 }
 
 func (r *reporter) write(ctx context.Context, a rule.Accepted, vms []rule.VM) error {
-	next := r.written.WithAccepted(a).WithVMs(vms).WithOnly(r.live())
+	next := r.lastReport.WithAccepted(a).WithVMs(vms).WithOnly(r.liveFilter())
 	text := next.Format()
-	r.spend(len(text))
+	r.reserveBytes(len(text))
 	version, err := r.cfg.StatusStore.Put(ctx, InForceKey, []byte(text), r.version)
 	if code.Of(err) == code.StoreConflict {
 		r.version = -1
 		return nil
 	}
 	if err == nil {
-		r.written, r.version = next, version
+		r.lastReport, r.version = next, version
 	}
 	return err
 }
 
-// state returns what this gateway can report: the accepted state, the generations
-// of itself and of the VMs that it heard from, and whether the state is the latest.
-func (g *Registry) state() (a rule.Accepted, vms []rule.VM, latest bool) {
+// reportState returns the state to report: the accepted state, the generations of this
+// gateway and of the peers that have announced theirs, and whether the accepted state
+// is the latest.
+func (g *Registry) reportState() (a rule.Accepted, vms []rule.VM, latest bool) {
 	g.mu.Lock()
 	a, latest = g.core.Latest()
 	generation := g.core.File().Generation
@@ -163,8 +168,9 @@
 	return a, vms, latest
 }
 
-// live returns the test for VMs whose lines stay in the report.
-func (g *Registry) live() func(name string) bool {
+// liveFilter returns a function that reports whether a VM is live, so that its line
+// stays in the report.
+func (g *Registry) liveFilter() func(name string) bool {
 	if g.cfg.Live == nil {
 		return func(string) bool { return true }
 	}
--- a/internal/control/registry/work.go
+++ b/internal/control/registry/work.go
@@ -6,19 +6,21 @@
 	"mustardsaddle.example/mustardsaddle/internal/control/rule"
 )
 
-// work is a submission on its way to a decision.
-type work struct {
+// pendingSubmission is a submission that is not decided yet.
+type pendingSubmission struct {
 	submission rule.Submission
-	// low and high bound the search for the base among versions of Rules/Accepted.
+	// low and high bound the binary search for the base among the versions of
+	// Rules/Accepted.
 	low, high int64
-	// unusable is how many versions from the middle down can't be used.
+	// unusable counts the consecutive unusable versions from the middle of the range
+	// downwards.
 	unusable int64
 }
 
-// base looks for the file that the present submission edited. It returns the
-// read that the search needs next, if any.
-func (c *Core) base() (Step, bool) {
-	w := c.work
+// findBase searches for the file that the pending submission is based on. It returns
+// the read that the search needs next, if any.
+func (c *Core) findBase() (Step, bool) {
+	w := c.pendingSubmission
 	if w.submission.HasBase || !w.submission.File.HasGeneration || len(w.submission.Problems) > 0 {
 		return Step{}, false
 	}
@@ -42,13 +44,13 @@
 	return Step{Action: ReadBase, Version: w.middle() - w.unusable}, true
 }
 
-func (w *work) middle() int64 {
+func (w *pendingSubmission) middle() int64 {
 	return w.low + (w.high-w.low)/2
 }
 
-// TakeSubmission takes the present submission. The object has version 0 if the
-// store no longer has it; err is that of the read, of which only
-// code.StoreTooLarge is final.
+// TakeSubmission processes a read of the submission requested by Next. The object has
+// version 0 if the store no longer has it. err is the error of the read; only
+// code.StoreTooLarge is final, and other errors are returned.
 func (c *Core) TakeSubmission(version int64, o mustardsaddle.Object, err error) error {
 	var s rule.Submission
 	switch {
@@ -56,23 +58,23 @@
 		s = rule.LargeSubmission(version)
 	case err != nil:
 		return err
-	case o.Version == 0 && version == c.newest:
+	case o.Version == 0 && version == c.newestSubmission:
 		return code.Errorf(code.StoreBadObject, "read %s: the newest version %d is missing", SubmittedKey, version)
 	case o.Version == 0:
 		s = rule.LostSubmission(version)
 	default:
 		s = rule.ParseSubmission(version, string(o.Value))
 	}
-	c.work = &work{submission: s, low: 1, high: c.version}
+	c.pendingSubmission = &pendingSubmission{submission: s, low: 1, high: c.version}
 	return nil
 }
 
-// TakeBase takes an old version of Rules/Accepted, and narrows the search for the
-// base: generations never fall from one version to the next. A version that the
-// store no longer has counts as too old; for one that can't be used the one before
-// it is tried.
+// TakeBase processes an old version of Rules/Accepted and narrows the search for the
+// base: generations never decrease from one version to the next. A version that the
+// store no longer has counts as too old; after an unusable version the preceding one
+// is tried.
 func (c *Core) TakeBase(version int64, o mustardsaddle.Object) {
-	w := c.work
+	w := c.pendingSubmission
 	if w == nil {
 		return
 	}
