--- a/internal/control/roster/mark.go
+++ b/internal/control/roster/mark.go
@@ -11,23 +11,23 @@
 	"mustardsaddle.example/mustardsaddle"
 )
 
-// Observe takes a first-hand load report of a server. It returns the mark to
-// spread, and true, if the report changes what is known of the server:
+// Observe processes a first-hand load report of a server. If the report changes the
+// state of the server, Observe returns the mark to send to the peers, and true:
 //
-//   - Draining makes a leaving mark at once.
-//   - Config.UndoReports consecutive reports without Draining, which span at
-//     least Config.UndoSpan, replace a leaving mark by a live one with the next
-//     Seq. A mark with FinalSeq stays.
+//   - A report with Draining set creates a leaving mark at once.
+//   - Config.RevertReports consecutive reports without Draining, which span at least
+//     Config.RevertSpan, replace a leaving mark by a live one with the next Seq. A
+//     mark with FinalSeq stays.
 //
-// Gateways that undo the same mark make equal marks, so that it does not matter
-// how many of them do. In the common case, a report of a live server, Observe
-// allocates nothing.
+// Gateways that revert the same mark create equal marks, so it does not matter how
+// many of them do so. In the common case, a report of a live server, Observe allocates
+// nothing.
 func (r Roster) Observe(now time.Time, server string, report mustardsaddle.Report) (Roster, mustardsaddle.Mark, bool) {
 	e, known := r.entries[server]
 	if !known {
 		return r, mustardsaddle.Mark{}, false
 	}
-	mark := r.markOf(e)
+	mark := r.currentMark(e)
 	if report.Draining {
 		return r.observeDraining(now, mark)
 	}
@@ -37,8 +37,9 @@
 	return r.observeServing(now, mark)
 }
 
-// markOf returns the mark in force about a VM; a live one with Seq 0 if none is.
-func (r Roster) markOf(e entry) mustardsaddle.Mark {
+// currentMark returns the mark that applies to a VM; without one it returns a live
+// mark with Seq 0.
+func (r Roster) currentMark(e entry) mustardsaddle.Mark {
 	m, marked := r.marks[e.Name]
 	if !marked || m.Incarnation < e.Incarnation {
 		return mustardsaddle.Mark{Name: e.Name, Incarnation: e.Incarnation}
@@ -48,9 +49,9 @@
 
 func (r Roster) observeDraining(now time.Time, mark mustardsaddle.Mark) (Roster, mustardsaddle.Mark, bool) {
 	if mark.Leaving {
-		if _, counted := r.proofs[mark.Name]; counted {
-			r.proofs = cloneMap(r.proofs)
-			delete(r.proofs, mark.Name)
+		if _, counted := r.evidence[mark.Name]; counted {
+			r.evidence = cloneMap(r.evidence)
+			delete(r.evidence, mark.Name)
 		}
 		return r, mustardsaddle.Mark{}, false
 	}
@@ -60,25 +61,24 @@
 
 func (r Roster) observeServing(now time.Time, mark mustardsaddle.Mark) (Roster, mustardsaddle.Mark, bool) {
 	cfg := r.cfg.withDefaults()
-	p := r.proofs[mark.Name]
+	p := r.evidence[mark.Name]
 	if p.mark != mark {
-		p = proof{mark: mark, first: now}
+		p = servingEvidence{mark: mark, first: now}
 	}
 	p.count++
-	r.proofs = cloneMap(r.proofs)
-	if p.count < cfg.UndoReports || now.Sub(p.first) < cfg.UndoSpan {
-		r.proofs[mark.Name] = p
+	r.evidence = cloneMap(r.evidence)
+	if p.count < cfg.RevertReports || now.Sub(p.first) < cfg.RevertSpan {
+		r.evidence[mark.Name] = p
 		return r, mustardsaddle.Mark{}, false
 	}
-	delete(r.proofs, mark.Name)
+	delete(r.evidence, mark.Name)
 	mark.Seq++
 	mark.Leaving = false
 	return r.WithMark(now, mark), mark, true
 }
 
-// WithMarks returns the roster after marks became known at now, from a peer or
-// from the gateway itself. Marks that are not newer than the known ones change
-// nothing.
+// WithMarks returns the roster after marks were received at now, from a peer or from
+// the gateway itself. Marks that are not newer than the known ones are ignored.
 func (r Roster) WithMarks(now time.Time, marks []mustardsaddle.Mark) Roster {
 	next := r
 	var changed []string
@@ -93,7 +93,7 @@
 		changed = append(changed, m.Name)
 	}
 	if changed != nil {
-		next.rebuild(changed)
+		next.updateViews(changed)
 	}
 	return next
 }
@@ -103,8 +103,9 @@
 	return r.WithMarks(now, []mustardsaddle.Mark{mark})
 }
 
-// accepts reports whether a mark is newer than what is known, not about a life
-// that is over, and has room.
+// accepts reports whether a mark is to be stored: it must be newer than the known one
+// and must not be about a past incarnation. The number of marks about unknown VMs is
+// bounded.
 func (r Roster) accepts(m mustardsaddle.Mark) bool {
 	e, known := r.entries[m.Name]
 	if known && m.Incarnation < e.Incarnation {
@@ -116,16 +117,16 @@
 	return known || len(r.marks) < len(r.entries)+maxUnknownMarks
 }
 
-// setMark keeps the newer of the known mark and m.
+// setMark stores m if it is newer than the known mark.
 func (r *Roster) setMark(now time.Time, m mustardsaddle.Mark) {
 	if r.accepts(m) {
-		r.marks[m.Name] = heldMark{Mark: m, at: now}
+		r.marks[m.Name] = storedMark{Mark: m, receivedAt: now}
 	}
 }
 
-// Marks returns the marks about known VMs ordered by name. Marks about VMs that
-// are unknown here are left out: each gateway forgets them after a time, and
-// would otherwise learn them again from the others for ever.
+// Marks returns the marks about known VMs, ordered by name. Marks about unknown VMs
+// are omitted: every gateway drops them after a time, and otherwise the gateways would
+// receive them from each other again forever.
 func (r Roster) Marks() []mustardsaddle.Mark {
 	var marks []mustardsaddle.Mark
 	for name, m := range r.marks {
@@ -137,8 +138,8 @@
 	return marks
 }
 
-// MarksSince returns the marks of r that are newer than those of an older
-// roster, ordered by name: what is still to be spread.
+// MarksSince returns the marks of r that are newer than those of an older roster,
+// ordered by name. These have yet to be sent to the peers.
 func (r Roster) MarksSince(old Roster) []mustardsaddle.Mark {
 	var marks []mustardsaddle.Mark
 	for name, m := range r.marks {
@@ -155,8 +156,8 @@
 	slices.SortFunc(marks, func(a, b mustardsaddle.Mark) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// MarksDigest returns a number that is equal for equal results of Marks. Peers
-// compare it to learn whether they miss a mark.
+// MarksDigest returns a digest that is equal for equal results of Marks. Peers compare
+// digests to detect missing marks.
 func (r Roster) MarksDigest() uint64 {
 	var sum uint64
 	for name, m := range r.marks {
--- a/internal/control/roster/memory_test.go
+++ b/internal/control/roster/memory_test.go
@@ -9,18 +9,18 @@
 	"mustardsaddle.example/mustardsaddle/internal/control/roster"
 )
 
-// BenchmarkRosterMemory gives the memory that a roster holds for each server, in
-// 280 services of 33.
+// BenchmarkRosterMemory reports the memory that a roster retains per server, with 280
+// services of 33 servers.
 func BenchmarkRosterMemory(b *testing.B) {
 	const services, size = 280, 33
-	held := func() uint64 {
+	heapBytes := func() uint64 {
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
 	for b.Loop() {
-		before := held()
+		before := heapBytes()
 		r := roster.New(roster.Config{})
 		for service := range services {
 			page := make([]mustardsaddle.Machine, 0, size)
@@ -31,7 +31,7 @@
 			}
 			r = r.WithPage(start, page[0].Service, page)
 		}
-		b.ReportMetric(float64(held()-before)/(services*size), "held-bytes/server")
+		b.ReportMetric(float64(heapBytes()-before)/(services*size), "held-bytes/server")
 		runtime.KeepAlive(r)
 	}
 }
--- a/internal/control/roster/neighbor.go
+++ b/internal/control/roster/neighbor.go
@@ -10,24 +10,24 @@
 	"mustardsaddle.example/mustardsaddle"
 )
 
-// minPairLinks is how many links join two availability zones at least, so that
-// the loss of one VM does not part them.
+// minPairLinks is the minimum number of links between two availability zones, so that
+// the loss of one VM does not disconnect them.
 const minPairLinks = 2
 
-// NeighborConfig configures Neighbors. Zero values take the defaults.
+// NeighborConfig configures Neighbors. Zero values select the defaults.
 type NeighborConfig struct {
-	// Across is how many links to other availability zones a VM has on average.
+	// Across is the average number of links from a VM to other availability zones.
 	Across int
 }
 
 const defaultAcross = 2
 
-// returnCallers is how many gateways call the address of a VM that has left.
-const returnCallers = 2
+// redialers is how many gateways keep dialing the address of a VM that has left.
+const redialers = 2
 
-// Rank returns the place of self among the live VMs in the rendezvous order of
-// key, from 0. Every gateway that knows the same VMs computes the same order, so
-// that duties are shared without talking: rank 0 tries first. A self that is not
+// Rank returns the position, from 0, of self among the live VMs in the rendezvous
+// order of key. Every gateway that knows the same VMs computes the same order, so that
+// duties are assigned without coordination: rank 0 acts first. A self that is not
 // among the live VMs ranks after all of them.
 func Rank(vms []mustardsaddle.VM, self, key string) int {
 	own := weight(self, key)
@@ -50,8 +50,8 @@
 	return rank
 }
 
-// ZoneRank is Rank among the live VMs in the availability zone of self. The VMs
-// with a ZoneRank below k are, for example, the k watchers of a key per zone.
+// ZoneRank is like Rank among the live VMs in the availability zone of self. For
+// example, the VMs with a ZoneRank below k are the k watchers of a key in each zone.
 func ZoneRank(vms []mustardsaddle.VM, self, key string) int {
 	at := slices.IndexFunc(vms, func(vm mustardsaddle.VM) bool { return vm.Name == self })
 	if at < 0 {
@@ -76,7 +76,7 @@
 	return n
 }
 
-// weight is the rendezvous weight of a VM for a key.
+// weight returns the rendezvous hash of a VM for a key.
 func weight(name, key string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -86,7 +86,7 @@
 	return d.Sum64()
 }
 
-// before orders by weight, then by name.
+// before reports whether a VM precedes another one by weight, then by name.
 func before(w uint64, name string, other uint64, otherName string) bool {
 	if w != other {
 		return w < other
@@ -94,64 +94,64 @@
 	return name < otherName
 }
 
-// Neighbors returns the VMs, of Roster.Peers, to which self keeps links, ordered
-// by name. A self that is not among the VMs has none. The relation is symmetric,
-// and the graph of all links stays connected when any one VM or any one
-// availability zone is lost:
+// Neighbors returns those of the VMs, which come from Roster.Peers, to which self
+// keeps links, ordered by name. A self that is not among the VMs has no neighbors. The
+// relation is symmetric, and the graph of all links stays connected if any single VM
+// or any single availability zone is lost:
 //
-//   - In its zone, a VM is linked to the next and the previous VM of a ring in
-//     rendezvous order, and to those a square root of the zone's size away, which
-//     keeps paths short.
-//   - Every pair of zones is joined by at least two links between different VMs
-//     where the zones have them; Across links a VM on average.
+//   - In its zone, a VM is linked to its successor and predecessor on a ring in
+//     rendezvous order, and to the VMs at a distance of the square root of the zone's
+//     size, which keeps paths short.
+//   - Every pair of zones is connected by at least two links, between different VMs if
+//     the zones have them. On average a VM has Across links to other zones.
 //
-// The number of links a VM depends on the number of zones, not of VMs.
+// The number of links per VM depends on the number of zones, not on the number of VMs.
 func Neighbors(vms []mustardsaddle.VM, self string, cfg NeighborConfig) []mustardsaddle.VM {
 	zones := make(map[string][]mustardsaddle.VM)
-	home := ""
+	localZone := ""
 	for _, vm := range vms {
 		if vm.Name == self {
-			home = vm.Zone
+			localZone = vm.Zone
 		}
 		if vm.Name == self || !vm.Leaving {
 			zones[vm.Zone] = append(zones[vm.Zone], vm)
 		}
 	}
-	if len(zones[home]) == 0 {
+	if len(zones[localZone]) == 0 {
 		return nil
 	}
-	found := make(map[string]mustardsaddle.VM)
-	addRing(found, order(zones[home], home), self)
+	neighbors := make(map[string]mustardsaddle.VM)
+	addRing(neighbors, rendezvousOrder(zones[localZone], localZone), self)
 	across := cmp.Or(cfg.Across, defaultAcross)
 	for zone, far := range zones {
-		if zone == home {
+		if zone == localZone {
 			continue
 		}
-		low, high := min(zone, home), max(zone, home)
+		low, high := min(zone, localZone), max(zone, localZone)
 		key := low + "\x00" + high
-		links := pairLinks(len(zones[home]), len(far), len(zones)-1, across)
-		addPair(found, order(zones[home], key), order(far, key), self, links)
+		links := pairLinks(len(zones[localZone]), len(far), len(zones)-1, across)
+		addPair(neighbors, rendezvousOrder(zones[localZone], key), rendezvousOrder(far, key), self, links)
 	}
-	delete(found, self)
-	return sorted(found)
+	delete(neighbors, self)
+	return sorted(neighbors)
 }
 
-// Returning returns the VMs, of Roster.Peers, that have left and whose address self
-// goes on calling for the others. A gateway that starts there next may reach neither
-// the platform nor, not knowing any, its peers. Each such VM is called by
-// returnCallers live ones.
+// Returning returns those of the VMs, which come from Roster.Peers, that have left and
+// whose addresses self keeps dialing on behalf of the fleet. A gateway that starts at
+// such an address may be unable to reach the platform, and then knows no peers to
+// connect to. Each of these VMs is dialed by redialers live gateways.
 func Returning(vms []mustardsaddle.VM, self string) []mustardsaddle.VM {
-	var calls []mustardsaddle.VM
+	var dialed []mustardsaddle.VM
 	for _, vm := range vms {
-		if vm.Leaving && vm.Name != self && Rank(vms, self, "Returning/"+vm.Name) < returnCallers {
-			calls = append(calls, vm)
+		if vm.Leaving && vm.Name != self && Rank(vms, self, "Returning/"+vm.Name) < redialers {
+			dialed = append(dialed, vm)
 		}
 	}
-	return calls
+	return dialed
 }
 
-// order returns the VMs in the rendezvous order of a key.
-func order(vms []mustardsaddle.VM, key string) []mustardsaddle.VM {
+// rendezvousOrder returns the VMs in the rendezvous order of a key.
+func rendezvousOrder(vms []mustardsaddle.VM, key string) []mustardsaddle.VM {
 	weights := make(map[string]uint64, len(vms))
 	for _, vm := range vms {
 		weights[vm.Name] = weight(vm.Name, key)
@@ -163,8 +163,8 @@
 	return ordered
 }
 
-// addRing adds the neighbors of self in the ring of its zone.
-func addRing(found map[string]mustardsaddle.VM, ring []mustardsaddle.VM, self string) {
+// addRing adds the neighbors of self on the ring of its zone.
+func addRing(neighbors map[string]mustardsaddle.VM, ring []mustardsaddle.VM, self string) {
 	n := len(ring)
 	at := slices.IndexFunc(ring, func(vm mustardsaddle.VM) bool { return vm.Name == self })
 	if at < 0 {
@@ -172,32 +172,33 @@
 	}
 	for _, step := range []int{1, int(math.Round(math.Sqrt(float64(n))))} {
 		next, previous := ring[(at+step)%n], ring[(at-step%n+n)%n]
-		found[next.Name] = next
-		found[previous.Name] = previous
+		neighbors[next.Name] = next
+		neighbors[previous.Name] = previous
 	}
 }
 
-// pairLinks returns how many links join two zones of the given sizes, when each
-// zone has peers other zones.
+// pairLinks returns the number of links between two zones of the given sizes, if each
+// zone is connected to peers other zones.
 func pairLinks(size, other, peers, across int) int {
 	small, large := min(size, other), max(size, other)
 	share := (small*across + peers - 1) / peers
 	return min(max(share, minPairLinks), large)
 }
 
-// addPair adds the neighbors of self among the first links pairs of two zones.
-func addPair(found map[string]mustardsaddle.VM, near, far []mustardsaddle.VM, self string, links int) {
+// addPair adds the neighbors of self among the first links VM pairs of two zones,
+// where near is the zone of self.
+func addPair(neighbors map[string]mustardsaddle.VM, near, far []mustardsaddle.VM, self string, links int) {
 	for i := range links {
 		if near[i%len(near)].Name == self {
 			vm := far[i%len(far)]
-			found[vm.Name] = vm
+			neighbors[vm.Name] = vm
 		}
 	}
 }
 
-func sorted(found map[string]mustardsaddle.VM) []mustardsaddle.VM {
-	vms := make([]mustardsaddle.VM, 0, len(found))
-	for _, vm := range found {
+func sorted(neighbors map[string]mustardsaddle.VM) []mustardsaddle.VM {
+	vms := make([]mustardsaddle.VM, 0, len(neighbors))
+	for _, vm := range neighbors {
 		vms = append(vms, vm)
 	}
 	slices.SortFunc(vms, func(a, b mustardsaddle.VM) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/control/roster/neighbor_test.go
+++ b/internal/control/roster/neighbor_test.go
@@ -12,7 +12,7 @@
 	"mustardsaddle.example/mustardsaddle/internal/control/roster"
 )
 
-func fleet(n, zones, seed int) []mustardsaddle.VM {
+func newVMs(n, zones, seed int) []mustardsaddle.VM {
 	var vms []mustardsaddle.VM
 	for i := range n {
 		vms = append(vms, mustardsaddle.VM{
@@ -33,39 +33,39 @@
 	return g
 }
 
-// depth returns how many hops from one VM reach every VM that is not lost, or -1
-// if the links do not join them.
-func depth(g map[string][]string, vms []mustardsaddle.VM, lost func(mustardsaddle.VM) bool) int {
-	open := make(map[string]bool)
+// eccentricity returns the number of hops within which the first remaining VM reaches
+// all others, without the failed VMs, or -1 if the remaining VMs are not connected.
+func eccentricity(g map[string][]string, vms []mustardsaddle.VM, failed func(mustardsaddle.VM) bool) int {
+	unvisited := make(map[string]bool)
 	for _, vm := range vms {
-		if !lost(vm) {
-			open[vm.Name] = true
+		if !failed(vm) {
+			unvisited[vm.Name] = true
 		}
 	}
-	var level []string
+	var frontier []string
 	for _, vm := range vms {
-		if open[vm.Name] {
-			level = []string{vm.Name}
+		if unvisited[vm.Name] {
+			frontier = []string{vm.Name}
 			break
 		}
 	}
 	hops := 0
-	for ; len(level) > 0; hops++ {
+	for ; len(frontier) > 0; hops++ {
 		var next []string
-		for _, name := range level {
-			delete(open, name)
+		for _, name := range frontier {
+			delete(unvisited, name)
 		}
-		for _, name := range level {
+		for _, name := range frontier {
 			for _, peer := range g[name] {
-				if open[peer] {
-					delete(open, peer)
+				if unvisited[peer] {
+					delete(unvisited, peer)
 					next = append(next, peer)
 				}
 			}
 		}
-		level = next
+		frontier = next
 	}
-	if len(open) > 0 {
+	if len(unvisited) > 0 {
 		return -1
 	}
 	return max(hops-1, 0)
@@ -75,21 +75,21 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{2, 3, 5, 13, 15, 17, 100}).Draw(t, "VMs")
 		zones := min(n, rapid.SampledFrom([]int{1, 2, 3, 7}).Draw(t, "Zones"))
-		vms := fleet(n, zones, rapid.IntRange(0, 1000).Draw(t, "Seed"))
+		vms := newVMs(n, zones, rapid.IntRange(0, 1000).Draw(t, "Seed"))
 		g := graph(vms)
 		for name, peers := range g {
 			for _, peer := range peers {
 				if !slices.Contains(g[peer], name) {
-					t.Fatalf("%s links to %s, but not back", name, peer)
+					t.Fatalf("%s is linked to %s, but not the reverse", name, peer)
 				}
 			}
 		}
-		for _, gone := range vms {
-			if depth(g, vms, func(vm mustardsaddle.VM) bool { return vm.Name == gone.Name }) < 0 {
-				t.Fatalf("the loss of %s parts the other VMs", gone.Name)
+		for _, lost := range vms {
+			if eccentricity(g, vms, func(vm mustardsaddle.VM) bool { return vm.Name == lost.Name }) < 0 {
+				t.Fatalf("the loss of %s disconnects the remaining VMs", lost.Name)
 			}
-			if depth(g, vms, func(vm mustardsaddle.VM) bool { return vm.Zone == gone.Zone }) < 0 {
-				t.Fatalf("the loss of %s parts the other VMs", gone.Zone)
+			if eccentricity(g, vms, func(vm mustardsaddle.VM) bool { return vm.Zone == lost.Zone }) < 0 {
+				t.Fatalf("the loss of %s disconnects the remaining VMs", lost.Zone)
 			}
 		}
 	})
@@ -100,25 +100,25 @@
 		{15, 3, 8, 4}, {100, 7, 12, 6}, {600, 7, 12, 10},
 	} {
 		convey.Convey(fmt.Sprintf("Given %d VMs in %d zones", c.vms, c.zones), t, func() {
-			vms := fleet(c.vms, c.zones, 1)
+			vms := newVMs(c.vms, c.zones, 1)
 			g := graph(vms)
-			most, sum := 0, 0
+			maxLinks, sum := 0, 0
 			for _, peers := range g {
-				most = max(most, len(peers))
+				maxLinks = max(maxLinks, len(peers))
 				sum += len(peers)
 			}
-			hops := depth(g, vms, func(mustardsaddle.VM) bool { return false })
-			t.Logf("%d VMs: links a VM mean %.1f, most %d; hops %d", c.vms, float64(sum)/float64(c.vms), most, hops)
-			convey.So(most, convey.ShouldBeLessThanOrEqualTo, c.degree)
+			hops := eccentricity(g, vms, func(mustardsaddle.VM) bool { return false })
+			t.Logf("%d VMs: mean links per VM %.1f, maximum %d; hops %d", c.vms, float64(sum)/float64(c.vms), maxLinks, hops)
+			convey.So(maxLinks, convey.ShouldBeLessThanOrEqualTo, c.degree)
 			convey.So(hops, convey.ShouldBeBetweenOrEqual, 1, c.hops)
 			for i := range 7 {
 				zone := fmt.Sprintf("zone-%d", i)
-				left := depth(g, vms, func(vm mustardsaddle.VM) bool { return vm.Zone == zone })
-				convey.So(left, convey.ShouldBeGreaterThan, 0)
+				hopsAfterLoss := eccentricity(g, vms, func(vm mustardsaddle.VM) bool { return vm.Zone == zone })
+				convey.So(hopsAfterLoss, convey.ShouldBeGreaterThan, 0)
 			}
-			for _, gone := range vms[:min(len(vms), 100)] {
-				left := depth(g, vms, func(vm mustardsaddle.VM) bool { return vm.Name == gone.Name })
-				convey.So(left, convey.ShouldBeGreaterThan, 0)
+			for _, lost := range vms[:min(len(vms), 100)] {
+				hopsAfterLoss := eccentricity(g, vms, func(vm mustardsaddle.VM) bool { return vm.Name == lost.Name })
+				convey.So(hopsAfterLoss, convey.ShouldBeGreaterThan, 0)
 			}
 		})
 	}
@@ -126,25 +126,25 @@
 
 func TestRankIsAnOrderOfTheLiveVMs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		vms := fleet(rapid.IntRange(1, 20).Draw(t, "VMs"), 3, 0)
-		away := rapid.IntRange(0, len(vms)-1).Draw(t, "Leaving")
+		vms := newVMs(rapid.IntRange(1, 20).Draw(t, "VMs"), 3, 0)
+		leavingIndex := rapid.IntRange(0, len(vms)-1).Draw(t, "Leaving")
 		key := rapid.String().Draw(t, "Key")
 		before := make([]int, len(vms))
 		for i, vm := range vms {
 			before[i] = roster.Rank(vms, vm.Name, key)
 		}
-		vms[away] = vms[away].WithLeaving(true)
+		vms[leavingIndex] = vms[leavingIndex].WithLeaving(true)
 		var ranks []int
 		for i, vm := range vms {
 			rank := roster.Rank(vms, vm.Name, key)
-			if i == away {
+			if i == leavingIndex {
 				if rank != len(vms)-1 {
 					t.Fatalf("got rank %d for a leaving VM, want %d", rank, len(vms)-1)
 				}
 				continue
 			}
 			if rank > before[i] {
-				t.Fatalf("%s fell from rank %d to %d when another left", vm.Name, before[i], rank)
+				t.Fatalf("rank of %s increased from %d to %d when another VM left", vm.Name, before[i], rank)
 			}
 			ranks = append(ranks, rank)
 		}
@@ -160,7 +160,7 @@
 func BenchmarkNeighbors(b *testing.B) {
 	for _, n := range []int{15, 100, 600} {
 		b.Run(fmt.Sprintf("VMs=%d", n), func(b *testing.B) {
-			vms := fleet(n, 7, 1)
+			vms := newVMs(n, 7, 1)
 			b.ReportAllocs()
 			for b.Loop() {
 				roster.Neighbors(vms, vms[0].Name, roster.NeighborConfig{})
@@ -198,7 +198,7 @@
 	b.Run("Mark", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			r.WithMark(start, leaving(0, 1))
+			r.WithMark(start, leavingMark(0, 1))
 		}
 	})
 	b.Run("Observe", func(b *testing.B) {
@@ -229,21 +229,21 @@
 			}
 			vms = append(vms, vm)
 		}
-		callers := make(map[string]int)
+		dialers := make(map[string]int)
 		for _, self := range vms {
 			for _, vm := range roster.Returning(vms, self.Name) {
 				if self.Leaving && live >= 2 {
-					t.Fatalf("%s has left and calls %s", self.Name, vm.Name)
+					t.Fatalf("%s has left and dials %s", self.Name, vm.Name)
 				}
-				callers[vm.Name]++
+				dialers[vm.Name]++
 			}
 		}
 		for _, vm := range vms {
-			if !vm.Leaving && callers[vm.Name] > 0 {
-				t.Fatalf("%s is live and called %d times", vm.Name, callers[vm.Name])
+			if !vm.Leaving && dialers[vm.Name] > 0 {
+				t.Fatalf("%s is live and dialed by %d gateways", vm.Name, dialers[vm.Name])
 			}
-			if vm.Leaving && live >= 2 && callers[vm.Name] != 2 {
-				t.Fatalf("%s is called by %d of %d live gateways, want 2", vm.Name, callers[vm.Name], live)
+			if vm.Leaving && live >= 2 && dialers[vm.Name] != 2 {
+				t.Fatalf("%s is dialed by %d gateways while %d are live, want 2", vm.Name, dialers[vm.Name], live)
 			}
 		}
 	})
--- a/internal/control/roster/page.go
+++ b/internal/control/roster/page.go
@@ -7,18 +7,19 @@
 	"mustardsaddle.example/mustardsaddle"
 )
 
-// WithPage returns the roster after a page of the platform's list came in at now.
-// A page that was read before the newest known one adds leaving marks and higher
-// incarnations, and brings no VM back. VMs of other pages are passed over.
+// WithPage returns the roster after a page of the platform's list was read at now. A
+// page that was read before the newest known one only adds leaving marks and higher
+// incarnations; it does not make a VM live again. VMs that belong to other pages are
+// ignored.
 func (r Roster) WithPage(now time.Time, name string, machines []mustardsaddle.Machine) Roster {
 	machines = slices.DeleteFunc(slices.Clone(machines), func(m mustardsaddle.Machine) bool { return m.Service != name })
 	if len(machines) == 0 {
 		return r
 	}
 	old := r.pages[name]
-	if r.settled(now, name) && slices.Equal(machines, old.machines) {
+	if r.isSettled(now, name) && slices.Equal(machines, old.machines) {
 		r.pages = cloneMap(r.pages)
-		r.pages[name] = page{at: later(old.at, now), machines: old.machines}
+		r.pages[name] = page{readAt: later(old.readAt, now), machines: old.machines}
 		return r
 	}
 	next := r.clone()
@@ -27,26 +28,26 @@
 			next.setMark(now, mustardsaddle.Mark{Name: m.Name, Incarnation: m.Incarnation, Seq: FinalSeq, Leaving: true})
 		}
 	}
-	if now.Before(old.at) {
-		next.takeOldPage(old.at, machines)
+	if now.Before(old.readAt) {
+		next.applyStalePage(old.readAt, machines)
 	} else {
-		next.pages[name] = page{at: now, machines: machines}
-		next.takePage(now, name, machines)
-		next.dropOld(now, name)
+		next.pages[name] = page{readAt: now, machines: machines}
+		next.applyPage(now, name, machines)
+		next.prune(now, name)
 	}
-	next.buildPage(name)
+	next.buildPageViews(name)
 	return next
 }
 
-// WithPageUnchanged returns the roster after a page was read at now and found to be
-// as it was. Time alone can end the doubt about a page.
+// WithPageUnchanged returns the roster after a page was read at now and found
+// unchanged. The passage of time alone can complete a mass removal.
 func (r Roster) WithPageUnchanged(now time.Time, name string) Roster {
 	return r.WithPage(now, name, r.pages[name].machines)
 }
 
-// settled reports whether an equal page would change nothing at now: none of its
-// VMs is missing and no mark is to be dropped.
-func (r Roster) settled(now time.Time, page string) bool {
+// isSettled reports whether an equal page would change nothing at now, because none of
+// its VMs is missing and no mark has to be dropped.
+func (r Roster) isSettled(now time.Time, page string) bool {
 	known := len(r.servers[page])
 	if page == "" {
 		known = len(r.peers)
@@ -54,9 +55,9 @@
 	if known != len(r.pages[page].machines) {
 		return false
 	}
-	retain := r.cfg.withDefaults().MarkRetain
+	retain := r.cfg.withDefaults().RetainUnlistedMarks
 	for name, m := range r.marks {
-		if _, ok := r.entries[name]; !ok && now.Sub(m.at) >= retain {
+		if _, ok := r.entries[name]; !ok && now.Sub(m.receivedAt) >= retain {
 			return false
 		}
 	}
@@ -70,9 +71,9 @@
 	return b
 }
 
-// WithPeerList returns the roster after a peer told what its list names. It adds
-// VMs, and lives of VMs, that are unknown here, and removes none: it serves a
-// gateway that starts while the platform's list cannot be read.
+// WithPeerList returns the roster after a peer sent its listed VMs. It adds VMs, and
+// incarnations of VMs, that are unknown here, and removes none. It serves a gateway
+// that starts while the platform's list cannot be read.
 func (r Roster) WithPeerList(machines []mustardsaddle.Machine) Roster {
 	next := r.clone()
 	for _, m := range machines {
@@ -80,20 +81,20 @@
 			next.entries[m.Name] = entry{Machine: m, listed: true}
 		}
 		if m.Leaving {
-			next.setMark(r.pages[m.Service].at, mustardsaddle.Mark{Name: m.Name, Incarnation: m.Incarnation, Seq: FinalSeq, Leaving: true})
+			next.setMark(r.pages[m.Service].readAt, mustardsaddle.Mark{Name: m.Name, Incarnation: m.Incarnation, Seq: FinalSeq, Leaving: true})
 		}
 	}
-	next.build()
+	next.buildViews()
 	return next
 }
 
-// takeOldPage adds what a page older than the newest one, read at newest, still
-// tells.
-func (r *Roster) takeOldPage(newest time.Time, machines []mustardsaddle.Machine) {
+// applyStalePage adds the information of a page that is older than the newest one,
+// which was read at newest.
+func (r *Roster) applyStalePage(newest time.Time, machines []mustardsaddle.Machine) {
 	for _, m := range machines {
 		e, known := r.entries[m.Name]
 		if !known {
-			r.entries[m.Name] = entry{Machine: m, listed: true, missing: newest, gone: true}
+			r.entries[m.Name] = entry{Machine: m, listed: true, missingSince: newest, removed: true}
 			continue
 		}
 		if m.Incarnation > e.Incarnation {
@@ -103,63 +104,64 @@
 	}
 }
 
-// takePage replaces the listed entries of a page, and decides which missing VMs
-// are gone.
-func (r *Roster) takePage(now time.Time, page string, machines []mustardsaddle.Machine) {
-	named := make(map[string]bool, len(machines))
+// applyPage replaces the listed entries of a page and decides which missing VMs are
+// removed.
+func (r *Roster) applyPage(now time.Time, page string, machines []mustardsaddle.Machine) {
+	listedNames := make(map[string]bool, len(machines))
 	for _, m := range machines {
-		named[m.Name] = true
+		listedNames[m.Name] = true
 		if old, ok := r.entries[m.Name]; ok && old.Incarnation > m.Incarnation {
 			m = old.Machine
 		}
 		r.entries[m.Name] = entry{Machine: m, listed: true}
 	}
-	lost, known := 0, 0
+	missingCount, known := 0, 0
 	for name, e := range r.entries {
-		if e.Service != page || !e.listed || e.gone {
+		if e.Service != page || !e.listed || e.removed {
 			continue
 		}
 		known++
-		if named[name] {
+		if listedNames[name] {
 			continue
 		}
-		lost++
-		if e.missing.IsZero() {
-			e.missing = now
+		missingCount++
+		if e.missingSince.IsZero() {
+			e.missingSince = now
 			r.entries[name] = e
 		}
 	}
 	for name, e := range r.entries {
-		if e.Service != page || e.missing.IsZero() || e.gone {
+		if e.Service != page || e.missingSince.IsZero() || e.removed {
 			continue
 		}
-		doubted := 2*lost > known
-		e.gone = !doubted || now.Sub(e.missing) >= r.cfg.Doubt
+		massRemoval := 2*missingCount > known
+		e.removed = !massRemoval || now.Sub(e.missingSince) >= r.cfg.MassRemovalDelay
 		r.entries[name] = e
 	}
 }
 
-// dropOld forgets VMs of a page that are gone for long, and marks about unknown VMs.
-func (r *Roster) dropOld(now time.Time, page string) {
+// prune drops the removed VMs of a page after their retention time, the marks about
+// past incarnations or about VMs unknown for too long, and other state of unknown VMs.
+func (r *Roster) prune(now time.Time, page string) {
 	for name, e := range r.entries {
-		if e.Service == page && e.gone && now.Sub(e.missing) >= r.cfg.Retain {
+		if e.Service == page && e.removed && now.Sub(e.missingSince) >= r.cfg.RetainRemoved {
 			delete(r.entries, name)
 		}
 	}
 	for name, m := range r.marks {
 		e, known := r.entries[name]
-		if known && m.Incarnation < e.Incarnation || !known && now.Sub(m.at) >= r.cfg.MarkRetain {
+		if known && m.Incarnation < e.Incarnation || !known && now.Sub(m.receivedAt) >= r.cfg.RetainUnlistedMarks {
 			delete(r.marks, name)
 		}
 	}
-	for name := range r.proofs {
+	for name := range r.evidence {
 		if _, known := r.entries[name]; !known {
-			delete(r.proofs, name)
+			delete(r.evidence, name)
 		}
 	}
-	for name := range r.silent {
+	for name := range r.unreachable {
 		if _, known := r.entries[name]; !known {
-			delete(r.silent, name)
+			delete(r.unreachable, name)
 		}
 	}
 }
--- a/internal/control/roster/roster.go
+++ b/internal/control/roster/roster.go
@@ -1,38 +1,43 @@
-// Package roster knows which endpoint servers and which gateway VMs are live or
-// leaving. A Roster is an immutable snapshot; each input gives a new one, and
-// nothing in the package performs I/O or reads a clock.
+// Package roster implements the membership view of a gateway: which endpoint servers
+// and gateway VMs exist, and which of them are live or leaving. A Roster is an
+// immutable snapshot; each input produces a new one, and nothing in the package
+// performs I/O or reads a clock.
 //
-// No input is trusted alone, because each can be late or wrong:
+// No single input is trusted, because each can be late or wrong:
 //
-//   - The platform's list names the VMs. It lags, so a "live" in it never undoes
-//     a mark. A "leaving" in it is final for that incarnation of the VM.
-//   - Marks from peers and from the gateway's own observation are merged by
-//     mustardsaddle.Mark.Newer, so that their order and number do not matter.
-//   - A report that says Draining makes a mark at once. Because reports can
-//     mislead, first-hand reports to the contrary undo it after some seconds.
-//   - A gateway VM whose link died is silent: it is not counted as live here.
+//   - The platform's list of VMs is eventually consistent, so a VM listed as live
+//     never overrides a leaving mark. A VM listed as leaving is leaving for the rest
+//     of that incarnation.
+//   - Marks from peers and from the gateway's own observations are merged by
+//     mustardsaddle.Mark.Newer, which makes the result independent of their order and
+//     repetition.
+//   - A load report with Draining set marks the server as leaving at once. Because
+//     reports can be misleading, later first-hand reports without Draining revert the
+//     mark after some seconds.
+//   - A gateway VM whose link has failed is unreachable: this gateway does not count
+//     it as live.
 //
-// The list is read in pages: one for each service, and one, with an empty name,
-// for the gateway VMs. Schedule decides who reads which page when; what a reader
-// finds new travels to the other gateways.
+// The list is read in pages: one for each service, and one, with an empty name, for
+// the gateway VMs. Schedule determines which gateway reads which page at what time;
+// what a reader finds new is sent to the other gateways.
 //
-// A VM that is missing from its page counts as leaving, unless the page lost more
-// than half of its VMs at once. Such a page is doubted: what it lacks stays live
-// until the VMs have been missing for Config.Doubt. A page without any entry is
-// ignored, and a page that cannot be read is simply not given to the roster, so
-// that an outage freezes the roster and never empties it.
+// A VM that is missing from its page counts as leaving, unless more than half of the
+// VMs of the page are missing. Such a mass removal is not trusted at first: the
+// missing VMs stay live until they have been missing for Config.MassRemovalDelay. A
+// page without any entry is ignored. A page that cannot be read is not passed to the
+// roster, so that an outage of the platform freezes the roster and never empties it.
 //
 // # Usage
 //
 //	r := roster.New(roster.Config{})
 //	next := r.WithPage(now, "Booking", machines)
-//	spread(next.MarksSince(r), next.MachinesSince(r))
+//	broadcast(next.MarksSince(r), next.MachinesSince(r))
 //	r = next
 //	servers := r.Servers("Booking")
 //
 //	next, mark, ok := r.Observe(now, "booking-07", report)
 //	if ok {
-//		spread([]mustardsaddle.Mark{mark})
+//		broadcast([]mustardsaddle.Mark{mark})
 //	}
 package roster
 
@@ -45,75 +50,81 @@
 	"mustardsaddle.example/mustardsaddle"
 )
 
-// FinalSeq is the Seq of a leaving mark that no report undoes: the platform, or
-// the VM itself, said that the VM leaves. Only a higher incarnation is live again.
+// FinalSeq is the Seq of a leaving mark that reports cannot revert, because the
+// platform or the VM itself stated that the VM is leaving. Only a higher incarnation
+// of the VM is live again.
 const FinalSeq int64 = 1<<31 - 1
 
 const (
-	defaultDoubt       = 30 * time.Second
-	defaultRetain      = time.Minute
-	defaultMarkRetain  = 10 * time.Minute
-	defaultUndoReports = 5
-	defaultUndoSpan    = 3 * time.Second
-	// maxUnknownMarks bounds the marks about VMs that no list has named yet.
+	defaultMassRemovalDelay    = 30 * time.Second
+	defaultRetainRemoved       = time.Minute
+	defaultRetainUnlistedMarks = 10 * time.Minute
+	defaultRevertReports       = 5
+	defaultRevertSpan          = 3 * time.Second
+	// maxUnknownMarks bounds the number of marks about VMs that are not in the roster.
 	maxUnknownMarks = 4096
 )
 
-// Config configures a Roster. Zero values take the defaults.
+// Config configures a Roster. Zero values select the defaults.
 type Config struct {
-	// Doubt is how long a list that lost more than half of a group is doubted.
-	Doubt time.Duration
-	// Retain is how long a VM that is believed gone is still shown as leaving.
-	Retain time.Duration
-	// MarkRetain is how long a mark about a VM that no list names is kept.
-	MarkRetain time.Duration
-	// UndoReports is how many consecutive reports without Draining undo a mark.
-	UndoReports int
-	// UndoSpan is the time that those reports span at least.
-	UndoSpan time.Duration
-}
-
-// Roster is an immutable snapshot of the known VMs. Its zero value is an empty
-// roster with the default configuration.
+	// MassRemovalDelay is how long VMs have to be missing before they count as
+	// leaving, if more than half of the VMs of a page are missing.
+	MassRemovalDelay time.Duration
+	// RetainRemoved is how long a removed VM is still shown as leaving.
+	RetainRemoved time.Duration
+	// RetainUnlistedMarks is how long a mark about a VM that is not in the roster is
+	// kept.
+	RetainUnlistedMarks time.Duration
+	// RevertReports is how many consecutive reports without Draining revert a leaving
+	// mark.
+	RevertReports int
+	// RevertSpan is the minimum time between the first and the last of those reports.
+	RevertSpan time.Duration
+}
+
+// Roster is an immutable snapshot of the known VMs. The zero value is an empty roster
+// with the default configuration.
 type Roster struct {
-	cfg     Config
-	pages   map[string]page
-	entries map[string]entry
-	marks   map[string]heldMark
-	silent  map[string]int64
-	proofs  map[string]proof
+	cfg         Config
+	pages       map[string]page
+	entries     map[string]entry
+	marks       map[string]storedMark
+	unreachable map[string]int64
+	evidence    map[string]servingEvidence
 
 	servers map[string][]mustardsaddle.Server
 	vms     []mustardsaddle.VM
 	peers   []mustardsaddle.VM
 }
 
-// page is the newest content of one page of the platform's list.
+// page is the newest known content of one page of the platform's list.
 type page struct {
-	at       time.Time
+	readAt   time.Time
 	machines []mustardsaddle.Machine
 }
 
-// entry is what the lists, or a peer's introduction, say of one VM.
+// entry is the state of one VM, from the platform's list or from the VM's own
+// introduction over a peer link.
 type entry struct {
 	mustardsaddle.Machine
 	// listed is false for a gateway VM known only by its own introduction.
 	listed bool
-	// missing is the time of the first list that lacks the VM; zero if the
-	// newest list names it.
-	missing time.Time
-	// gone is true once the VM's absence is believed.
-	gone bool
+	// missingSince is when the first page without the VM was read; zero if the newest
+	// page lists the VM.
+	missingSince time.Time
+	// removed is true once the VM counts as leaving because it is missing.
+	removed bool
 }
 
-// heldMark is a mark with the local time at which it became known.
-type heldMark struct {
+// storedMark is a mark with the local time at which it was received.
+type storedMark struct {
 	mustardsaddle.Mark
-	at time.Time
+	receivedAt time.Time
 }
 
-// proof counts first-hand reports against one leaving mark.
-type proof struct {
+// servingEvidence counts consecutive first-hand reports that contradict one leaving
+// mark.
+type servingEvidence struct {
 	mark  mustardsaddle.Mark
 	first time.Time
 	count int
@@ -125,22 +136,22 @@
 }
 
 func (c Config) withDefaults() Config {
-	c.Doubt = cmp.Or(c.Doubt, defaultDoubt)
-	c.Retain = cmp.Or(c.Retain, defaultRetain)
-	c.MarkRetain = cmp.Or(c.MarkRetain, defaultMarkRetain)
-	c.UndoReports = cmp.Or(c.UndoReports, defaultUndoReports)
-	c.UndoSpan = cmp.Or(c.UndoSpan, defaultUndoSpan)
+	c.MassRemovalDelay = cmp.Or(c.MassRemovalDelay, defaultMassRemovalDelay)
+	c.RetainRemoved = cmp.Or(c.RetainRemoved, defaultRetainRemoved)
+	c.RetainUnlistedMarks = cmp.Or(c.RetainUnlistedMarks, defaultRetainUnlistedMarks)
+	c.RevertReports = cmp.Or(c.RevertReports, defaultRevertReports)
+	c.RevertSpan = cmp.Or(c.RevertSpan, defaultRevertSpan)
 	return c
 }
 
-// clone returns a copy of r whose maps may be changed.
+// clone returns a copy of r with maps that may be modified.
 func (r Roster) clone() Roster {
 	r.cfg = r.cfg.withDefaults()
 	r.pages = cloneMap(r.pages)
 	r.entries = cloneMap(r.entries)
 	r.marks = cloneMap(r.marks)
-	r.silent = cloneMap(r.silent)
-	r.proofs = cloneMap(r.proofs)
+	r.unreachable = cloneMap(r.unreachable)
+	r.evidence = cloneMap(r.evidence)
 	return r
 }
 
@@ -151,38 +162,40 @@
 	return maps.Clone(m)
 }
 
-// Services returns the names of the services with at least one server.
+// Services returns the names of the services with at least one server, in order.
 func (r Roster) Services() []string {
 	return slices.Sorted(maps.Keys(r.servers))
 }
 
-// Servers returns the servers of a service, ordered by name. Leaving servers
-// are included and say so. The slice must not be changed.
+// Servers returns the servers of a service, ordered by name. It includes leaving
+// servers, with Leaving set. The slice must not be modified.
 func (r Roster) Servers(service string) []mustardsaddle.Server {
 	return r.servers[service]
 }
 
-// VMs returns the gateway VMs ordered by name. Leaving says that a VM leaves,
-// or is silent as this gateway sees it. The slice must not be changed.
+// VMs returns the gateway VMs ordered by name. Leaving is set for VMs that are leaving
+// and for those that are unreachable from this gateway. The slice must not be
+// modified.
 func (r Roster) VMs() []mustardsaddle.VM {
 	return r.vms
 }
 
-// Peers returns the gateway VMs ordered by name, as VMs does, but does not show
-// silent ones as leaving: links to them are still tried, so that a cut network
-// joins again. It is what Neighbors takes. The slice must not be changed.
+// Peers returns the gateway VMs ordered by name, like VMs, but without Leaving set for
+// unreachable ones: connections to them are still attempted, so that the fleet
+// reconnects after a network partition. It is the input of Neighbors. The slice must
+// not be modified.
 func (r Roster) Peers() []mustardsaddle.VM {
 	return r.peers
 }
 
-// Machines returns what the lists name, ordered by name, for a peer that cannot
-// read the platform's.
+// Machines returns the listed VMs, ordered by name, for a peer that cannot read the
+// platform's list.
 func (r Roster) Machines() []mustardsaddle.Machine {
 	return r.machines(func(entry) bool { return true })
 }
 
-// MachinesSince returns the VMs, and lives of VMs, that an older roster lacks,
-// ordered by name: what is still to be spread.
+// MachinesSince returns the VMs, and the newer incarnations of VMs, that an older
+// roster lacks, ordered by name. These have yet to be sent to the peers.
 func (r Roster) MachinesSince(old Roster) []mustardsaddle.Machine {
 	return r.machines(func(e entry) bool {
 		before, known := old.entries[e.Name]
@@ -190,11 +203,12 @@
 	})
 }
 
-// machines returns the listed VMs that are kept and not gone, ordered by name.
+// machines returns the listed VMs that are not removed and for which keep returns
+// true, ordered by name.
 func (r Roster) machines(keep func(entry) bool) []mustardsaddle.Machine {
 	var machines []mustardsaddle.Machine
 	for _, e := range r.entries {
-		if e.listed && !e.gone && keep(e) {
+		if e.listed && !e.removed && keep(e) {
 			machines = append(machines, e.Machine)
 		}
 	}
@@ -202,7 +216,8 @@
 	return machines
 }
 
-// Gateways returns the number of live gateway VMs, at least 1: the caller.
+// Gateways returns the number of live gateway VMs. It is at least 1, for the calling
+// gateway itself.
 func (r Roster) Gateways() int {
 	n := 0
 	for _, vm := range r.vms {
--- a/internal/control/roster/roster_test.go
+++ b/internal/control/roster/roster_test.go
@@ -31,7 +31,7 @@
 	return machines
 }
 
-// live returns the names of the servers that may take requests.
+// live returns the names of the servers that are not leaving.
 func live(r roster.Roster) []string {
 	var names []string
 	for _, s := range r.Servers("Booking") {
@@ -53,7 +53,7 @@
 	return counts
 }
 
-func leaving(seq, incarnation int64) mustardsaddle.Mark {
+func leavingMark(seq, incarnation int64) mustardsaddle.Mark {
 	return mustardsaddle.Mark{Name: "booking-00", Incarnation: incarnation, Seq: seq, Leaving: true}
 }
 
@@ -67,7 +67,7 @@
 		{"the list", func(r roster.Roster) roster.Roster {
 			return r.WithPage(start.Add(time.Second), "Booking", []mustardsaddle.Machine{listed, server(1, 1), server(2, 1)})
 		}},
-		{"a peer", func(r roster.Roster) roster.Roster { return r.WithMark(start, leaving(0, 1)) }},
+		{"a peer", func(r roster.Roster) roster.Roster { return r.WithMark(start, leavingMark(0, 1)) }},
 		{"a report", func(r roster.Roster) roster.Roster {
 			r, _, _ = r.Observe(start, "booking-00", mustardsaddle.Report{Draining: true})
 			return r
@@ -76,14 +76,14 @@
 		convey.Convey("Given a server that "+c.name+" shows as leaving", t, func() {
 			r := c.mark(roster.New(roster.Config{}).WithPage(start, "Booking", servers(3)))
 			convey.So(live(r), convey.ShouldResemble, []string{"booking-01", "booking-02"})
-			convey.Convey("Later lists and older marks that call it live change nothing", func() {
+			convey.Convey("Later pages and older marks that show it as live change nothing", func() {
 				r = r.WithMark(start, mustardsaddle.Mark{Name: "booking-00", Incarnation: 1})
 				for i := range 100 {
 					r = r.WithPage(start.Add(time.Duration(i)*time.Minute), "Booking", servers(3))
 				}
 				convey.So(live(r), convey.ShouldResemble, []string{"booking-01", "booking-02"})
 			})
-			convey.Convey("A restart of the VM makes it live", func() {
+			convey.Convey("A restart of its VM makes it live", func() {
 				r = r.WithPage(start.Add(time.Minute), "Booking", append(servers(3)[1:], server(0, 2)))
 				convey.So(live(r), convey.ShouldHaveLength, 3)
 			})
@@ -92,17 +92,17 @@
 }
 
 func TestMisleadingDrainingReport(t *testing.T) {
-	convey.Convey("Given a server marked for one Draining report", t, func() {
+	convey.Convey("Given a server marked as leaving after one Draining report", t, func() {
 		r := roster.New(roster.Config{}).WithPage(start, "Booking", servers(3))
-		r, mark, spread := r.Observe(start, "booking-00", mustardsaddle.Report{Draining: true})
-		convey.So(spread, convey.ShouldBeTrue)
-		convey.So(mark, convey.ShouldResemble, leaving(0, 1))
+		r, mark, changed := r.Observe(start, "booking-00", mustardsaddle.Report{Draining: true})
+		convey.So(changed, convey.ShouldBeTrue)
+		convey.So(mark, convey.ShouldResemble, leavingMark(0, 1))
 		observe := func(d time.Duration, draining bool) bool {
-			r, mark, spread = r.Observe(start.Add(d), "booking-00", mustardsaddle.Report{Draining: draining})
-			return spread
+			r, mark, changed = r.Observe(start.Add(d), "booking-00", mustardsaddle.Report{Draining: draining})
+			return changed
 		}
 		convey.So(r.Servers("Booking")[0].MayReturn, convey.ShouldBeTrue)
-		convey.Convey("Five later reports over three seconds undo it with the next Seq", func() {
+		convey.Convey("Five later reports over at least three seconds revert the mark with the next Seq", func() {
 			for i := range 4 {
 				convey.So(observe(time.Duration(i+1)*time.Second, false), convey.ShouldBeFalse)
 			}
@@ -110,20 +110,20 @@
 			convey.So(mark, convey.ShouldResemble, mustardsaddle.Mark{Name: "booking-00", Incarnation: 1, Seq: 1})
 			convey.So(live(r), convey.ShouldHaveLength, 3)
 			convey.So(observe(6*time.Second, true), convey.ShouldBeTrue)
-			convey.So(mark, convey.ShouldResemble, leaving(1, 1))
+			convey.So(mark, convey.ShouldResemble, leavingMark(1, 1))
 		})
-		convey.Convey("Many reports within a moment do not", func() {
+		convey.Convey("Many reports within a second do not", func() {
 			for i := range 100 {
 				convey.So(observe(time.Duration(i)*10*time.Millisecond, false), convey.ShouldBeFalse)
 			}
 		})
-		convey.Convey("Reports that a Draining one interrupts do not", func() {
+		convey.Convey("Reports interrupted by Draining ones do not", func() {
 			for i := range 100 {
 				convey.So(observe(time.Duration(i)*time.Second, i%4 == 3), convey.ShouldBeFalse)
 			}
 		})
-		convey.Convey("No number of reports undoes the platform's word", func() {
-			r = r.WithMark(start, leaving(roster.FinalSeq, 1))
+		convey.Convey("No number of reports reverts a final mark", func() {
+			r = r.WithMark(start, leavingMark(roster.FinalSeq, 1))
 			for i := range 100 {
 				convey.So(observe(time.Duration(i)*time.Second, false), convey.ShouldBeFalse)
 			}
@@ -136,10 +136,10 @@
 func TestShrinkingList(t *testing.T) {
 	convey.Convey("Given ten listed servers", t, func() {
 		r := roster.New(roster.Config{}).WithPage(start, "Booking", servers(10))
-		convey.Convey("An empty list is ignored for good", func() {
+		convey.Convey("An empty page is always ignored", func() {
 			convey.So(live(r.WithPage(start.Add(time.Hour), "Booking", nil)), convey.ShouldHaveLength, 10)
 		})
-		convey.Convey("A list without one of them shows it as leaving, and drops it later", func() {
+		convey.Convey("A server missing from a page is leaving, and dropped later", func() {
 			r = r.WithPage(start.Add(time.Second), "Booking", servers(9))
 			convey.So(live(r), convey.ShouldHaveLength, 9)
 			convey.So(r.Servers("Booking"), convey.ShouldHaveLength, 10)
@@ -147,14 +147,14 @@
 			convey.So(r.Servers("Booking"), convey.ShouldHaveLength, 9)
 			convey.So(live(r.WithPage(start.Add(3*time.Minute), "Booking", servers(10))), convey.ShouldHaveLength, 10)
 		})
-		convey.Convey("A list without most of them is doubted for thirty seconds", func() {
+		convey.Convey("A page without most of them takes effect only after thirty seconds", func() {
 			for i := 1; i <= 30; i++ {
 				r = r.WithPage(start.Add(time.Duration(i)*time.Second), "Booking", servers(2))
 				convey.So(live(r), convey.ShouldHaveLength, 10)
 			}
 			convey.So(live(r.WithPage(start.Add(31*time.Second), "Booking", servers(2))), convey.ShouldHaveLength, 2)
 		})
-		convey.Convey("An outage of the list before it does not shorten the doubt", func() {
+		convey.Convey("A preceding outage of the list does not shorten that delay", func() {
 			r = r.WithPage(start.Add(time.Hour), "Booking", servers(2))
 			convey.So(live(r), convey.ShouldHaveLength, 10)
 		})
@@ -162,12 +162,12 @@
 }
 
 func TestStartFromAPeersList(t *testing.T) {
-	convey.Convey("Given an empty roster and the list of a peer in two parts", t, func() {
+	convey.Convey("Given an empty roster and the list of a peer in two messages", t, func() {
 		gone := server(4, 1)
 		gone.Leaving = true
 		r := roster.New(roster.Config{}).WithPeerList(servers(2)).WithPeerList([]mustardsaddle.Machine{server(2, 1), gone})
 		convey.So(live(r), convey.ShouldHaveLength, 3)
-		convey.Convey("The platform's list takes over when it can be read", func() {
+		convey.Convey("The platform's list takes precedence once it can be read", func() {
 			r = r.WithPage(start, "Booking", append(servers(2), server(3, 1)))
 			convey.So(live(r), convey.ShouldResemble, []string{"booking-00", "booking-01", "booking-03"})
 		})
@@ -182,14 +182,14 @@
 		r := roster.New(roster.Config{}).WithPage(start, "", list)
 		r = r.WithVM(mustardsaddle.VM{Name: "gateway-3", Incarnation: 1, Zone: "b"}).WithPage(start.Add(time.Minute), "", list)
 		convey.So(liveByZone(r), convey.ShouldResemble, map[string]int{"a": 2, "b": 1})
-		convey.Convey("Silent ones are not live until they speak", func() {
+		convey.Convey("Unreachable ones are not live until they introduce themselves again", func() {
 			r = r.WithSilent("gateway-3").WithSilent("gateway-2").WithPage(start.Add(2*time.Minute), "", list)
 			convey.So(liveByZone(r), convey.ShouldResemble, map[string]int{"a": 1})
 			convey.So(roster.Neighbors(r.Peers(), "gateway-1", roster.NeighborConfig{}), convey.ShouldHaveLength, 1)
 			r = r.WithVM(mustardsaddle.VM{Name: "gateway-2", Incarnation: 1, Zone: "a"})
 			convey.So(liveByZone(r), convey.ShouldResemble, map[string]int{"a": 2})
 		})
-		convey.Convey("A stopping one stays leaving when it is heard or listed again", func() {
+		convey.Convey("A stopping one stays leaving when it introduces itself or is listed again", func() {
 			r = r.WithMark(start, mustardsaddle.Mark{Name: "gateway-2", Incarnation: 1, Seq: roster.FinalSeq, Leaving: true})
 			r = r.WithVM(mustardsaddle.VM{Name: "gateway-2", Incarnation: 1, Zone: "a"}).WithPage(start.Add(time.Hour), "", list)
 			convey.So(liveByZone(r)["a"], convey.ShouldEqual, 1)
@@ -198,22 +198,23 @@
 	})
 }
 
-// input is a list or a mark.
+// input is a page or a mark.
 type input struct {
 	at   time.Time
-	list []mustardsaddle.Machine
+	page []mustardsaddle.Machine
 	mark mustardsaddle.Mark
 }
 
 func (in input) apply(r roster.Roster) roster.Roster {
-	if in.list != nil {
-		return r.WithPage(in.at, "Booking", in.list)
+	if in.page != nil {
+		return r.WithPage(in.at, "Booking", in.page)
 	}
 	return r.WithMark(in.at, in.mark)
 }
 
-// Marks and lists in any order, and any of them twice, give the same roster, as
-// long as the newest list comes last; a VM with a leaving mark is never live.
+// TestOrderAndRepetitionDoNotMatter checks that pages and marks in any order, with
+// repetitions, produce the same roster if the newest page comes last, and that a
+// server with a leaving mark is never live.
 func TestOrderAndRepetitionDoNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		final := servers(4)
@@ -223,7 +224,7 @@
 			m := server(rapid.IntRange(0, 5).Draw(t, "Server"), rapid.Int64Range(1, 2).Draw(t, "Incarnation"))
 			m.Leaving = rapid.Bool().Draw(t, "Leaving")
 			if rapid.Bool().Draw(t, "List") {
-				inputs = append(inputs, input{at: at, list: append(servers(4)[1:], m)})
+				inputs = append(inputs, input{at: at, page: append(servers(4)[1:], m)})
 				continue
 			}
 			mark := mustardsaddle.Mark{
@@ -250,15 +251,15 @@
 		}
 		a, b := run(), run()
 		if !reflect.DeepEqual(a.Marks(), b.Marks()) || a.MarksDigest() != b.MarksDigest() {
-			t.Fatalf("marks differ by order: %v and %v", a.Marks(), b.Marks())
+			t.Fatalf("marks depend on the order: %v and %v", a.Marks(), b.Marks())
 		}
 		if !reflect.DeepEqual(live(a), live(b)) {
-			t.Fatalf("live servers differ by order: %v and %v", live(a), live(b))
+			t.Fatalf("live servers depend on the order: %v and %v", live(a), live(b))
 		}
 		for _, m := range a.Marks() {
 			for _, s := range a.Servers("Booking") {
 				if s.Name == m.Name && m.Incarnation >= s.Incarnation && m.Leaving && !s.Leaving {
-					t.Fatalf("server %s is live under mark %v", s.Name, m)
+					t.Fatalf("server %s is live despite mark %v", s.Name, m)
 				}
 			}
 		}
--- a/internal/control/roster/schedule.go
+++ b/internal/control/roster/schedule.go
@@ -10,11 +10,14 @@
 )
 
 const (
-	// pageReaders is about how many gateways read one page often, over all zones.
+	// pageReaders is the approximate number of gateways, over all zones, that read one
+	// page frequently.
 	pageReaders = 6
-	// slowFactor is how much longer than Poll other gateways wait at least.
-	slowFactor = 2
-	// minFleetReads is the least rate of either kind of reads by the whole fleet.
+	// minSlowFactor is the minimum ratio of the read interval of the other gateways to
+	// Poll.
+	minSlowFactor = 2
+	// minFleetReads is the minimum value of ScheduleConfig.FleetReads, in reads per
+	// second.
 	minFleetReads = 1
 )
 
@@ -24,40 +27,42 @@
 	Self string
 	// Poll is the mean time between reads of a page by each of its readers.
 	Poll time.Duration
-	// FleetReads is how many reads a second the whole fleet may make, the readers
-	// of pages as many as all others together.
+	// FleetReads is the maximum read rate of the whole fleet, in reads per second. One
+	// half of it is for the readers of pages, the other half for the reads of all
+	// other gateways.
 	FleetReads float64
 }
 
-// Schedule decides when this gateway reads which page of the platform's list.
-// Every page has a few readers in each availability zone, chosen by rendezvous,
-// which read it often and spread what is new. All other gateways read every page
-// slowly, which bounds the age of their roster when peers tell them nothing. Both
-// kinds slow down as pages and gateways grow, so that the fleet keeps to its rate.
+// Schedule determines when this gateway reads which page of the platform's list. Every
+// page has a few readers in each availability zone, chosen by rendezvous hashing,
+// which read it frequently and send what is new to their peers. All other gateways
+// read the page at a longer interval, which bounds the age of their roster if peers
+// send them nothing. Both intervals grow with the number of pages and gateways, so
+// that the fleet stays within its read rate.
 //
-// A Schedule is a deterministic state machine, and not safe for concurrent use.
+// A Schedule is a deterministic state machine and not safe for concurrent use.
 type Schedule struct {
 	cfg   ScheduleConfig
 	vms   []mustardsaddle.VM
 	pages []string
-	plans map[string]plan
+	plans map[string]pagePlan
 }
 
-// plan says how often a page is read, and when it is read next.
-type plan struct {
-	every time.Duration
-	due   time.Time
+// pagePlan holds the read interval of a page and the time of its next read.
+type pagePlan struct {
+	interval time.Duration
+	nextRead time.Time
 }
 
 // NewSchedule returns a Schedule without pages.
 func NewSchedule(cfg ScheduleConfig) *Schedule {
 	cfg.FleetReads = max(cfg.FleetReads, minFleetReads)
-	return &Schedule{cfg: cfg, plans: make(map[string]plan)}
+	return &Schedule{cfg: cfg, plans: make(map[string]pagePlan)}
 }
 
-// SetFleet tells the gateway VMs, and the pages that the rules in force need. A
-// page that is new here is due at once for its readers; for others within the
-// time of a slow read.
+// SetFleet sets the gateway VMs, and the pages that the active rules need. A page that
+// is new to this gateway is due at once if the gateway is one of its readers,
+// otherwise at a random time within the longer interval.
 func (s *Schedule) SetFleet(now time.Time, rng *rand.Rand, vms []mustardsaddle.VM, pages []string) {
 	if slices.Equal(vms, s.vms) && slices.Equal(pages, s.pages) {
 		return
@@ -65,23 +70,23 @@
 	s.vms, s.pages = slices.Clone(vms), slices.Clone(pages)
 	zones := s.zones()
 	perZone := max(1, pageReaders/zones)
-	often := max(s.cfg.Poll, s.spread(perZone*zones))
-	slow := max(slowFactor*s.cfg.Poll, s.spread(len(vms)))
-	plans := make(map[string]plan, len(pages))
+	readerInterval := max(s.cfg.Poll, s.rateLimitedInterval(perZone*zones))
+	slowInterval := max(minSlowFactor*s.cfg.Poll, s.rateLimitedInterval(len(vms)))
+	plans := make(map[string]pagePlan, len(pages))
 	for _, name := range pages {
-		p := plan{every: slow}
+		p := pagePlan{interval: slowInterval}
 		reader := ZoneRank(vms, s.cfg.Self, "Machines/"+name) < perZone
 		if reader {
-			p.every = often
+			p.interval = readerInterval
 		}
 		old, known := s.plans[name]
 		switch {
 		case known:
-			p.due = earlier(old.due, now.Add(p.every))
+			p.nextRead = earlier(old.nextRead, now.Add(p.interval))
 		case reader:
-			p.due = now
+			p.nextRead = now
 		default:
-			p.due = now.Add(time.Duration(rng.Float64() * float64(slow)))
+			p.nextRead = now.Add(time.Duration(rng.Float64() * float64(slowInterval)))
 		}
 		plans[name] = p
 	}
@@ -99,9 +104,9 @@
 	return max(1, len(zones))
 }
 
-// spread returns the time between reads of a page at which gateways that each
-// read every page stay at half the rate of the fleet.
-func (s *Schedule) spread(gateways int) time.Duration {
+// rateLimitedInterval returns the read interval of a page at which the given number of
+// gateways, each reading every page, use half of the read rate of the fleet.
+func (s *Schedule) rateLimitedInterval(gateways int) time.Duration {
 	seconds := float64(len(s.pages)*gateways) / (s.cfg.FleetReads / 2)
 	return time.Duration(seconds * float64(time.Second))
 }
@@ -113,20 +118,20 @@
 	return b
 }
 
-// Next returns the page that is due, and plans its next read; or, with false, the
-// time until one is due.
+// Next returns the page whose read is due first, and schedules its next read. If no
+// page is due, it returns false and the time until the next one is.
 func (s *Schedule) Next(now time.Time, rng *rand.Rand) (page string, wait time.Duration, ok bool) {
 	if len(s.pages) == 0 {
 		return "", s.cfg.Poll, false
 	}
 	first := slices.MinFunc(s.pages, func(a, b string) int {
-		return cmp.Or(s.plans[a].due.Compare(s.plans[b].due), cmp.Compare(a, b))
+		return cmp.Or(s.plans[a].nextRead.Compare(s.plans[b].nextRead), cmp.Compare(a, b))
 	})
 	p := s.plans[first]
-	if p.due.After(now) {
-		return "", p.due.Sub(now), false
+	if p.nextRead.After(now) {
+		return "", p.nextRead.Sub(now), false
 	}
-	p.due = now.Add(time.Duration((0.5 + rng.Float64()) * float64(p.every)))
+	p.nextRead = now.Add(time.Duration((0.5 + rng.Float64()) * float64(p.interval)))
 	s.plans[first] = p
 	return first, 0, true
 }
--- a/internal/control/roster/schedule_test.go
+++ b/internal/control/roster/schedule_test.go
@@ -12,8 +12,9 @@
 	"mustardsaddle.example/mustardsaddle/internal/control/roster"
 )
 
-// reads returns how often each gateway reads each page in the given time.
-func reads(vms []mustardsaddle.VM, pages []string, span time.Duration) map[string]map[string]int {
+// countReads simulates the schedules of all gateways and returns the number of reads
+// by gateway and page.
+func countReads(vms []mustardsaddle.VM, pages []string, span time.Duration) map[string]map[string]int {
 	counts := make(map[string]map[string]int)
 	for i, vm := range vms {
 		counts[vm.Name] = make(map[string]int)
@@ -45,20 +46,20 @@
 		}
 		const span = time.Minute
 		total := 0
-		often := make(map[string]int)
-		for _, counts := range reads(vms, pages, span) {
+		maxReads := make(map[string]int)
+		for _, counts := range countReads(vms, pages, span) {
 			for page, n := range counts {
 				total += n
-				often[page] = max(often[page], n)
+				maxReads[page] = max(maxReads[page], n)
 			}
 		}
-		// Jitter adds at most one early read a page and gateway.
+		// Jitter adds at most one early read per page and gateway.
 		if limit := int(200*span.Seconds()*1.1) + len(vms)*len(pages); total > limit {
 			t.Fatalf("fleet made %d reads in %s, want at most %d", total, span, limit)
 		}
 		for _, page := range pages {
-			if often[page] < 10 {
-				t.Fatalf("page %q was read %d times in %s by its most frequent reader, want at least 10", page, often[page], span)
+			if maxReads[page] < 10 {
+				t.Fatalf("page %q was read %d times in %s by its most frequent reader, want at least 10", page, maxReads[page], span)
 			}
 		}
 	})
--- a/internal/control/roster/seed_test.go
+++ b/internal/control/roster/seed_test.go
@@ -2,6 +2,6 @@
 
 import "flag"
 
-// Each run draws the same cases, so that the verdict never changes by itself; a
-// -rapid.seed on the command line comes later and wins.
+// Fixes the seed, so that every run checks the same cases. A -rapid.seed flag on the
+// command line is parsed later and takes precedence.
 func init() { _ = flag.Set("rapid.seed", "1") }
