--- a/internal/choice/survey/questions.go
+++ b/internal/choice/survey/questions.go
@@ -6,55 +6,58 @@
 	"golang.org/x/time/rate"
 )
 
-// AnswerPatience is how long a call waits for the answers of the servers that were
-// asked for their load.
+// AnswerPatience bounds how long a call waits for the load reports of the servers
+// that it queried.
 const AnswerPatience = 15 * time.Millisecond
 
 const (
-	// questionShare is the part of the questions that running gateways plan to ask.
-	questionShare = 0.85
-	// questionBurst is the time for which unspent questions are kept.
-	questionBurst = 2 * time.Second
-	// questionCalls is how many calls the unspent questions are to last for.
-	questionCalls = 2
-	// minQuestions is how many servers a call asks when questions are short: the
-	// better of two is far better than any one.
-	minQuestions = 2
+	// queryShare is the share of the allowed load queries that the live gateways
+	// plan to send.
+	queryShare = 0.85
+	// queryBurst is the time over which unused tokens accumulate.
+	queryBurst = 2 * time.Second
+	// reserveCalls is the number of calls among which the available tokens are
+	// divided.
+	reserveCalls = 2
+	// minQueries is the number of servers that a call queries when tokens are
+	// scarce: choosing the better of two servers is far better than choosing one
+	// without comparison.
+	minQueries = 2
 )
 
-// Questions bounds what one gateway asks the servers of a service, over time. It
-// performs no I/O and is not safe for concurrent use.
+// Questions is a token bucket that limits the load queries from one gateway to the
+// servers of a service. It performs no I/O and is not safe for concurrent use.
 type Questions struct {
-	limiter *rate.Limiter
-	most    int
+	limiter    *rate.Limiter
+	maxPerCall int
 }
 
-// NewQuestions returns bounds by which a call may ask the given number of servers
-// at most, and which permit nothing yet.
-func NewQuestions(most int) *Questions {
-	return &Questions{limiter: rate.NewLimiter(0, 0), most: most}
+// NewQuestions returns a limiter that lets one call query at most maxPerCall
+// servers. It permits no query until SetRate is called.
+func NewQuestions(maxPerCall int) *Questions {
+	return &Questions{limiter: rate.NewLimiter(0, 0), maxPerCall: maxPerCall}
 }
 
-// Rate returns one gateway's part, in questions a second, of what each server may get
-// from all gateways together.
+// Rate returns the query rate of one gateway, in queries per second, when perServer
+// is the rate that each server accepts from all gateways together.
 func Rate(perServer float64, servers, gateways int) float64 {
-	return questionShare * perServer * float64(servers) / float64(gateways)
+	return queryShare * perServer * float64(servers) / float64(gateways)
 }
 
-// SetRate changes the rate of questions, in questions a second.
+// SetRate changes the refill rate, in queries per second.
 func (q *Questions) SetRate(now time.Time, perSecond float64) {
 	q.limiter.SetLimitAt(now, rate.Limit(perSecond))
-	q.limiter.SetBurstAt(now, max(int(perSecond*questionBurst.Seconds()), q.most))
+	q.limiter.SetBurstAt(now, max(int(perSecond*queryBurst.Seconds()), q.maxPerCall))
 }
 
-// Next returns how many servers the next call may ask: fewer when questions run
-// short, so that the calls after it can ask some too.
+// Next returns how many servers the next call may query. It returns fewer when
+// tokens are scarce, so that the calls after it can query some servers too.
 func (q *Questions) Next(now time.Time) int {
-	part := int(q.limiter.TokensAt(now) / questionCalls)
-	return min(max(part, minQuestions), q.most)
+	n := int(q.limiter.TokensAt(now) / reserveCalls)
+	return min(max(n, minQueries), q.maxPerCall)
 }
 
-// Take spends one question, or returns false.
+// Take consumes one token. It returns false if there is none.
 func (q *Questions) Take(now time.Time) bool {
 	return q.limiter.AllowN(now, 1)
 }
--- a/internal/choice/survey/server.go
+++ b/internal/choice/survey/server.go
@@ -7,52 +7,58 @@
 )
 
 const (
-	// failureGain is the weight of one outcome in the mean of failures.
-	failureGain = 0.35
-	// outFailures is the mean of failures from which a server is taken out.
-	outFailures = 0.55
-	// outRefusals is how many sheds in a row for which the load gives no reason take a
-	// server out.
-	outRefusals = 3
-	// firstOut is how long a server is out at first; each further time lasts twice
-	// as long, up to maxOutShift doublings.
-	firstOut    = time.Second
-	maxOutShift = 3
-	// silentQuestions is how many questions in a row without an answer make a
-	// server silent, and silentPause how long it is not asked then.
-	silentQuestions = 2
-	silentPause     = 500 * time.Millisecond
-	// gonePause is how long a server is passed over whose address another one has.
-	gonePause = 3 * time.Second
-	// usualSlowness is the slowness of a server that does not state it.
-	usualSlowness = 1.0
+	// failureAlpha is the weight of one outcome in the moving average of failures.
+	failureAlpha = 0.35
+	// ejectFailureRate is the moving average of failures from which a server is
+	// ejected.
+	ejectFailureRate = 0.55
+	// ejectSheds is the number of consecutive sheds not explained by the reported
+	// load after which a server is ejected.
+	ejectSheds = 3
+	// baseEjection is the duration of the first ejection. Each further ejection
+	// lasts twice as long, up to maxEjectionDoublings doublings.
+	baseEjection         = time.Second
+	maxEjectionDoublings = 3
+	// unresponsiveQueries is the number of consecutive load queries without an
+	// answer after which a server counts as unresponsive. It is then not queried or
+	// chosen for unresponsivePause.
+	unresponsiveQueries = 2
+	unresponsivePause   = 500 * time.Millisecond
+	// addressTakenPause is how long a server is excluded after another server
+	// answered at its address.
+	addressTakenPause = 3 * time.Second
+	// nominalSlowness is the slowness assumed for a server that does not report it.
+	nominalSlowness = 1.0
 )
 
-// server is what a Survey knows of one server.
+// server is the state that a Chooser keeps for one server.
 type server struct {
 	mustardsaddle.Server
-	// inFlight are this gateway's attempts.
+	// inFlight is the number of this gateway's attempts in flight.
 	inFlight int
-	// busy is the number of requests in the server: what it reported last, and the
-	// attempts of this gateway that began and ended since.
-	busy   int
+	// load estimates the requests in the server: the number in its last report,
+	// adjusted by the attempts of this gateway that began or ended since.
+	load   int
 	report mustardsaddle.Report
-	// asked is when an open question was sent; zero if there is none.
-	asked time.Time
-	// probed is when the last probe was sent that no call needed.
-	probed time.Time
-	// missed counts questions in a row without an answer, the last at missedAt.
-	missed   int
-	missedAt time.Time
-	// failures is the moving mean of failed attempts, from 0 to 1.
-	failures float64
-	// refusals counts sheds in a row for which the reported load gave no reason.
-	refusals int
-	outUntil time.Time
-	outs     int
+	// queriedAt is when the pending load query was sent; zero if there is none.
+	queriedAt time.Time
+	// probedAt is when the last probe was sent, that is, a load query outside a
+	// call.
+	probedAt time.Time
+	// missedQueries counts consecutive load queries without an answer, the last of
+	// them at missedAt.
+	missedQueries int
+	missedAt      time.Time
+	// failureRate is the moving average of failed attempts, from 0 to 1.
+	failureRate float64
+	// unexplainedSheds counts consecutive sheds that the reported load does not
+	// explain.
+	unexplainedSheds int
+	ejectedUntil     time.Time
+	ejections        int
 }
 
-// slots returns how many requests the server runs at a time.
+// slots returns how many requests the server runs concurrently.
 func (s *server) slots() int {
 	if s.report.Slots > 0 {
 		return s.report.Slots
@@ -60,98 +66,103 @@
 	return max(s.Slots, 1)
 }
 
-// free returns the number of free slots, below 0 if requests wait.
-func (s *server) free() int {
-	return s.slots() - s.busy
+// freeSlots returns the number of free slots. It is negative if requests are queued
+// in the server.
+func (s *server) freeSlots() int {
+	return s.slots() - s.load
 }
 
-// hasRoom reports whether an attempt would run at once and come to an end in useful
-// time: the last slot of a server above the given slowness stays free.
-func (s *server) hasRoom(quick float64) bool {
-	if s.slowness() > quick && s.slots() > 1 {
-		return s.free() > 1
+// hasCapacity reports whether an attempt would start at once and finish in useful
+// time. The last slot of a server whose slowness is above slowLimit stays free.
+func (s *server) hasCapacity(slowLimit float64) bool {
+	if s.slowness() > slowLimit && s.slots() > 1 {
+		return s.freeSlots() > 1
 	}
-	return s.free() > 0
+	return s.freeSlots() > 0
 }
 
-// saysRoom reports whether the server has said after the given time that a slot is
-// free.
-func (s *server) saysRoom(since time.Time) bool {
+// reportsCapacity reports whether the server has reported a free slot after the
+// given time.
+func (s *server) reportsCapacity(since time.Time) bool {
 	return s.report.At.After(since) && s.report.InFlight < s.slots()
 }
 
-// fresh reports whether the last report is young enough to decide.
+// fresh reports whether the last report is no older than limit.
 func (s *server) fresh(now time.Time, limit time.Duration) bool {
 	return !s.report.At.IsZero() && now.Sub(s.report.At) <= limit
 }
 
-// worthAsking reports whether a question would tell something new.
-func (s *server) worthAsking(now time.Time, current time.Duration) bool {
-	open := !s.asked.IsZero() && now.Sub(s.asked) < questionTimeout
-	return !open && !s.fresh(now, current)
+// needsQuery reports whether a load query would bring new information: none is
+// pending and the last report is older than minAge.
+func (s *server) needsQuery(now time.Time, minAge time.Duration) bool {
+	pending := !s.queriedAt.IsZero() && now.Sub(s.queriedAt) < queryTimeout
+	return !pending && !s.fresh(now, minAge)
 }
 
-// silent reports whether the server has left questions unanswered lately.
-func (s *server) silent(now time.Time) bool {
-	return s.missed >= silentQuestions && now.Sub(s.missedAt) < silentPause
+// unresponsive reports whether the server has recently left consecutive load
+// queries unanswered.
+func (s *server) unresponsive(now time.Time) bool {
+	return s.missedQueries >= unresponsiveQueries && now.Sub(s.missedAt) < unresponsivePause
 }
 
-// slowness returns how long work takes as a multiple of the usual, as last reported.
+// slowness returns the last reported processing time as a multiple of the usual
+// one.
 func (s *server) slowness() float64 {
 	if s.report.Slowness <= 0 {
-		return usualSlowness
+		return nominalSlowness
 	}
 	return s.report.Slowness
 }
 
-// score returns how long work is expected to take as a multiple of the usual. The
-// lowest is best.
+// score returns the expected processing time as a multiple of the usual one. The
+// server with the lowest score is best.
 func (s *server) score(now time.Time, need mustardsaddle.Need) float64 {
 	slowness := s.slowness()
 	if now.Before(s.WarmAt) {
-		slowness += coldCost
+		slowness += warmUpCost
 	}
 	score := slowness
-	if s.free() <= 1 && s.slots() > 1 {
-		score += slowness * crowding
+	if s.freeSlots() <= 1 && s.slots() > 1 {
+		score += slowness * lastSlotCost
 	}
-	if waiting := -s.free() + 1; waiting > 0 {
-		score += slowness * waitingCost * float64(waiting)
+	if waiting := -s.freeSlots() + 1; waiting > 0 {
+		score += slowness * queueCost * float64(waiting)
 	}
-	score += failureCost * s.failures
+	score += failureCost * s.failureRate
 	if s.Zone != need.Zone {
-		score += awayCost + awayByteCost*float64(need.Bytes)
+		score += crossZoneCost + crossZoneByteCost*float64(need.Bytes)
 	}
 	return score
 }
 
-func (s *server) fail() {
-	s.failures += (1 - s.failures) * failureGain
+func (s *server) recordFailure() {
+	s.failureRate += (1 - s.failureRate) * failureAlpha
 }
 
-func (s *server) succeed() {
-	s.refusals = 0
-	s.failures -= s.failures * failureGain
-	if s.failures < 1-outFailures {
-		s.outs = 0
+func (s *server) recordSuccess() {
+	s.unexplainedSheds = 0
+	s.failureRate -= s.failureRate * failureAlpha
+	if s.failureRate < 1-ejectFailureRate {
+		s.ejections = 0
 	}
 }
 
-// gone passes the server over for a while. What it reported is not its own.
-func (s *server) gone(now time.Time) {
+// markAddressTaken excludes the server for addressTakenPause and discards its last
+// report, which may have come from another server.
+func (s *server) markAddressTaken(now time.Time) {
 	s.report = mustardsaddle.Report{}
-	s.outUntil = now.Add(gonePause)
+	s.ejectedUntil = now.Add(addressTakenPause)
 }
 
-// isOut reports whether the server is out at the given time.
-func (s *server) isOut(now time.Time) bool {
-	return now.Before(s.outUntil)
+// isEjected reports whether the server is ejected at the given time.
+func (s *server) isEjected(now time.Time) bool {
+	return now.Before(s.ejectedUntil)
 }
 
-// takeOut takes the server out, each time for longer. What it failed before does
-// not count again.
-func (s *server) takeOut(now time.Time) {
-	s.outUntil = now.Add(firstOut << min(s.outs, maxOutShift))
-	s.outs++
-	s.failures = outFailures / 2
+// eject excludes the server, each time for longer. It lowers the failure rate, so
+// that the failures before the ejection do not soon cause another one.
+func (s *server) eject(now time.Time) {
+	s.ejectedUntil = now.Add(baseEjection << min(s.ejections, maxEjectionDoublings))
+	s.ejections++
+	s.failureRate = ejectFailureRate / 2
 }
--- a/internal/choice/survey/survey.go
+++ b/internal/choice/survey/survey.go
@@ -1,46 +1,49 @@
-// Package survey chooses the endpoint server of an attempt by what a few servers
-// say of their load just before it.
+// Package survey chooses the endpoint server for each attempt by load reports that
+// a sample of the servers returns just before the choice.
 //
-// Where load changes within the time of one request, a report that is some
-// milliseconds old is worth more than any memory. So a Survey names servers to ask,
-// mostly those that looked good a moment ago and some at random, and then picks the
-// one whose slots and speed promise the earliest end. What it learns serves the
-// next calls for as long as it is fresh; this gateway's own attempts are counted
-// into it meanwhile.
+// Load can change within the duration of one request, so a report that is a few
+// milliseconds old predicts better than longer history. A Chooser therefore selects
+// servers to query, half of them with the best last known scores and the rest at
+// random, and then picks the server whose free slots and speed promise the earliest
+// completion. Later calls use the same reports while they are fresh, adjusted by
+// this gateway's own attempts.
 //
-// A server has room while a slot is free; in a server that is slow among its peers
-// the last slot stays free, since work there would outlast what callers wait for. So
-// no attempt waits in a server: calls that find no room wait in the gateway, where
-// their order can still change and a refusal comes early.
+// A server has capacity while a slot is free. The last slot of a server that is
+// slow compared with its peers stays free, since a request there would outlast its
+// caller's timeout. No attempt queues in a server: calls that find no capacity
+// queue in the gateway, where they can still be reordered and can be rejected
+// early.
 //
-// A service with many servers is divided: a gateway knows and asks a part of them.
+// The servers of a large service are divided into subsets: each gateway knows and
+// queries one subset.
 //
-// A server is passed over while it leaves, while it has no room, or while it is out:
-// failures in a row take it out for a time that doubles, and answers to
-// questions alone do not bring it back earlier, since a server can fail every
-// request while it says that it is well. At most a share of the servers is out.
+// A server is excluded while it is leaving, has no capacity, does not answer load
+// queries or is ejected. Consecutive failures eject it, each time for twice as
+// long. Answers to load queries do not end an ejection early, since a server can
+// fail every request while it reports that it is healthy. The share of servers
+// ejected at a time is bounded.
 //
-// A server that leaves by its own reports alone is probed now and then, and is back
-// when its reports say so.
+// A server that counts as leaving only because of its own reports is probed at
+// intervals, and may return when its reports no longer say so.
 //
-// A server whose address another one has is passed over until a question shows that
-// it is back.
+// A server whose address is used by another server is excluded for some seconds,
+// and after that until a load query reaches it again.
 //
-// Services whose servers never report their load are chosen for by this gateway's
+// If no server of a service reports its load, the choice depends on this gateway's
 // own attempts in flight.
 //
 // # Usage
 //
-//	s := survey.New(survey.Config{})
-//	s.SetServers(now, servers)
-//	s.SetFleet(now, "gateway-1", gateways)
-//	for _, server := range s.Ask(now, rng, need, 8) {
-//		... // ask, then s.Asked(now, server.Name, reply) and s.Observe(now, server.Name, report)
+//	c := survey.New(survey.Config{})
+//	c.SetServers(now, servers)
+//	c.SetFleet(now, "gateway-1", gateways)
+//	for _, server := range c.Ask(now, rng, need, 8) {
+//		... // query, then c.Asked(now, server.Name, reply) and c.Observe(now, server.Name, report)
 //	}
-//	choice, ok := s.Choose(now, rng, need)
+//	choice, ok := c.Choose(now, rng, need)
 //
-// A Survey is a deterministic state machine: time and the random source are
-// arguments. Its owner holds a lock.
+// A Chooser is a deterministic state machine: time and the random source are
+// arguments. The caller must serialize access to it.
 package survey
 
 import (
@@ -56,143 +59,148 @@
 )
 
 const (
-	// defaultFresh is the age up to which a report decides.
+	// defaultFresh is the maximum age of a report that is used for a choice.
 	defaultFresh = 40 * time.Millisecond
-	// defaultCurrent is the age below which a server is not asked again.
+	// defaultCurrent is the report age below which a server is not queried again.
 	defaultCurrent = 4 * time.Millisecond
-	// defaultMaxOut is the largest share of servers that are out at a time.
-	defaultMaxOut = 0.4
-	// defaultSlowRatio is the multiple of the usual slowness above which a server is
-	// slow.
+	// defaultMaxEjected is the largest share of servers that are ejected at a time.
+	defaultMaxEjected = 0.4
+	// defaultSlowRatio is the multiple of the median slowness above which a server
+	// counts as slow.
 	defaultSlowRatio = 2.0
-	// defaultSubset is about how many servers a gateway knows: enough that a few of
-	// them are idle at any load, few enough that connections to them stay in use.
+	// defaultSubset is the approximate number of servers that a gateway knows:
+	// enough that a few of them are idle at any load, and few enough that
+	// connections to them stay in use.
 	defaultSubset = 32
-	// defaultProbeInterval is the least time between two probes of one server.
+	// defaultProbeInterval is the minimum time between two probes of one server.
 	defaultProbeInterval = 500 * time.Millisecond
-	// questionTimeout is the time after which a question without an answer is
-	// given up.
-	questionTimeout = 200 * time.Millisecond
-	// crowding is how much longer work takes when it takes the last slot.
-	crowding = 0.7
-	// waitingCost is what each request ahead in the queue of a server adds.
-	waitingCost = 1.0
-	// coldCost is how much longer work takes on a server that has just started.
-	coldCost = 1.0
-	// usualStep is how far one report moves the median slowness.
-	usualStep = 0.02
-	// failureCost is how much an expected failure adds to the score.
+	// queryTimeout is the time after which a load query without an answer no longer
+	// counts as pending.
+	queryTimeout = 200 * time.Millisecond
+	// lastSlotCost is the relative increase in processing time when a request takes
+	// the last free slot.
+	lastSlotCost = 0.7
+	// queueCost is the relative increase for each request ahead in the server's
+	// queue.
+	queueCost = 1.0
+	// warmUpCost is added to the slowness of a server that is still warming up.
+	warmUpCost = 1.0
+	// medianStep is how far one report moves the estimate of the median slowness.
+	medianStep = 0.02
+	// failureCost is the score added at a failure rate of 1.
 	failureCost = 4.0
-	// awayCost is what a server in another availability zone adds, and awayByteCost
-	// what each byte of an answer adds that has to cross.
-	awayCost     = 0.02
-	awayByteCost = 8e-6
+	// crossZoneCost is the score added for a server in another availability zone,
+	// and crossZoneByteCost the score added for each byte of its response.
+	crossZoneCost     = 0.02
+	crossZoneByteCost = 8e-6
 )
 
-// Reasons of choices and of verdicts.
+// Reasons of choices and exclusions, as logged.
 const (
-	reasonReport   = "Report"
-	reasonOwn      = "Own"
-	reasonFailures = "Failures"
-	reasonGone     = "OtherServer"
-	reasonSilent   = "Silent"
+	reasonReport       = "Report"
+	reasonOwnInFlight  = "Own"
+	reasonFailures     = "Failures"
+	reasonAddressTaken = "OtherServer"
+	reasonUnresponsive = "Silent"
 )
 
-// Config configures a Survey. Zero values mean the defaults.
+// Config configures a Chooser. Zero values select the defaults.
 type Config struct {
-	// Fresh is the age up to which a report decides.
+	// Fresh is the maximum age of a report that is used for a choice.
 	Fresh time.Duration
-	// Current is the age below which a server is not asked again.
+	// Current is the report age below which a server is not queried again.
 	Current time.Duration
-	// MaxOut is the largest share of servers that are out at a time; below 0 none
-	// is.
+	// MaxOut is the largest share of servers that are ejected at a time. A negative
+	// value disables ejection.
 	MaxOut float64
-	// SlowRatio is the multiple of the usual slowness above which the last slot of a
-	// server stays free; below 0 all slots are used.
+	// SlowRatio is the multiple of the median slowness above which the last slot of
+	// a server stays free. A negative value makes all slots available.
 	SlowRatio float64
-	// Subset is about how many servers a gateway knows of a larger service.
+	// Subset is the approximate number of servers that a gateway knows of a larger
+	// service.
 	Subset int
-	// ProbeInterval is the least time between two probes of one server by all
+	// ProbeInterval is the minimum time between two probes of one server by all
 	// gateways together.
 	ProbeInterval time.Duration
 }
 
-// Survey is the state of one service's servers as this gateway sees them.
-type Survey struct {
+// Chooser holds this gateway's view of the servers of one service.
+type Chooser struct {
 	cfg Config
-	// all are the servers of the service, of which servers are those this gateway
-	// knows, ordered by name.
+	// all holds the servers of the service, ordered by name. servers holds the
+	// subset that this gateway knows.
 	all      []mustardsaddle.Server
 	gateways []mustardsaddle.VM
 	self     string
 	servers  []*server
 	byName   map[string]*server
-	// reporting is true once any server of the service has reported its load.
-	reporting bool
-	// usual is the median slowness of the servers' reports.
-	usual float64
-	// verdicts are the servers that were taken out since Verdicts was called.
-	verdicts []mustardsaddle.Verdict
+	// hasReports is true once any server of the service has reported its load.
+	hasReports bool
+	// medianSlowness is a running estimate of the median of the reported slowness.
+	medianSlowness float64
+	// exclusions holds the servers that were excluded since the last call of
+	// Verdicts.
+	exclusions []mustardsaddle.Verdict
 }
 
 var (
-	_ mustardsaddle.Surveyor    = (*Survey)(nil)
-	_ mustardsaddle.FleetSetter = (*Survey)(nil)
+	_ mustardsaddle.Surveyor    = (*Chooser)(nil)
+	_ mustardsaddle.FleetSetter = (*Chooser)(nil)
 )
 
-// New returns a Survey without servers.
-func New(cfg Config) *Survey {
+// New returns a Chooser without servers.
+func New(cfg Config) *Chooser {
 	cfg.Fresh = cmp.Or(cfg.Fresh, defaultFresh)
 	cfg.Current = cmp.Or(cfg.Current, defaultCurrent)
-	cfg.MaxOut = cmp.Or(cfg.MaxOut, defaultMaxOut)
+	cfg.MaxOut = cmp.Or(cfg.MaxOut, defaultMaxEjected)
 	cfg.Subset = cmp.Or(cfg.Subset, defaultSubset)
 	cfg.SlowRatio = cmp.Or(cfg.SlowRatio, defaultSlowRatio)
 	cfg.ProbeInterval = cmp.Or(cfg.ProbeInterval, defaultProbeInterval)
 	if cfg.SlowRatio < 0 {
 		cfg.SlowRatio = math.Inf(1)
 	}
-	return &Survey{cfg: cfg, byName: make(map[string]*server), usual: usualSlowness}
+	return &Chooser{cfg: cfg, byName: make(map[string]*server), medianSlowness: nominalSlowness}
 }
 
 // SetServers replaces the set of servers.
-func (v *Survey) SetServers(_ time.Time, servers []mustardsaddle.Server) {
-	v.all = slices.Clone(servers)
-	slices.SortFunc(v.all, func(a, b mustardsaddle.Server) int { return strings.Compare(a.Name, b.Name) })
-	v.rebuild()
+func (c *Chooser) SetServers(_ time.Time, servers []mustardsaddle.Server) {
+	c.all = slices.Clone(servers)
+	slices.SortFunc(c.all, func(a, b mustardsaddle.Server) int { return strings.Compare(a.Name, b.Name) })
+	c.rebuild()
 }
 
-// SetFleet tells which gateways share the servers.
-func (v *Survey) SetFleet(_ time.Time, self string, gateways []mustardsaddle.VM) {
-	v.self, v.gateways = self, slices.Clone(gateways)
-	slices.SortFunc(v.gateways, func(a, b mustardsaddle.VM) int { return strings.Compare(a.Name, b.Name) })
-	v.rebuild()
+// SetFleet sets the gateways that share the servers.
+func (c *Chooser) SetFleet(_ time.Time, self string, gateways []mustardsaddle.VM) {
+	c.self, c.gateways = self, slices.Clone(gateways)
+	slices.SortFunc(c.gateways, func(a, b mustardsaddle.VM) int { return strings.Compare(a.Name, b.Name) })
+	c.rebuild()
 }
 
-// rebuild takes the servers that this gateway knows. What is known of those that
-// stay is kept; a server with another start or address is another server, of which
-// nothing is known.
-func (v *Survey) rebuild() {
-	mine := share.Subset(v.all, v.gateways, v.self, v.cfg.Subset)
-	byName := make(map[string]*server, len(mine))
-	v.servers = v.servers[:0]
-	for _, known := range mine {
-		s := v.byName[known.Name]
+// rebuild recomputes the subset that this gateway knows. The state of servers that
+// stay is kept. A server with a different incarnation or address counts as a new
+// server without state.
+func (c *Chooser) rebuild() {
+	subset := share.Subset(c.all, c.gateways, c.self, c.cfg.Subset)
+	byName := make(map[string]*server, len(subset))
+	c.servers = c.servers[:0]
+	for _, known := range subset {
+		s := c.byName[known.Name]
 		if s == nil || s.Incarnation != known.Incarnation || s.Address != known.Address {
 			s = &server{}
 		}
 		s.Server = known
 		byName[known.Name] = s
-		v.servers = append(v.servers, s)
+		c.servers = append(c.servers, s)
 	}
-	v.byName = byName
+	c.byName = byName
 }
 
-// Ask returns up to n servers to ask: those with the best score as last known, and
-// as many at random.
-func (v *Survey) Ask(now time.Time, rng *rand.Rand, need mustardsaddle.Need, n int) []mustardsaddle.Server {
+// Ask returns up to n servers to query. If there are more candidates, half are
+// those with the best last known scores and the rest are random.
+func (c *Chooser) Ask(now time.Time, rng *rand.Rand, need mustardsaddle.Need, n int) []mustardsaddle.Server {
 	var candidates []*server
-	for _, s := range v.servers {
-		if v.usable(now, s, need) && s.worthAsking(now, v.cfg.Current) {
+	for _, s := range c.servers {
+		if c.eligible(now, s, need) && s.needsQuery(now, c.cfg.Current) {
 			candidates = append(candidates, s)
 		}
 	}
@@ -202,18 +210,18 @@
 		slices.SortStableFunc(best, func(a, b *server) int {
 			return cmp.Compare(a.score(now, need), b.score(now, need))
 		})
-		candidates = mix(best[:n/2], candidates, n)
+		candidates = fill(best[:n/2], candidates, n)
 	}
-	asked := make([]mustardsaddle.Server, len(candidates))
+	queried := make([]mustardsaddle.Server, len(candidates))
 	for i, s := range candidates {
-		s.asked = now
-		asked[i] = s.Server
+		s.queriedAt = now
+		queried[i] = s.Server
 	}
-	return asked
+	return queried
 }
 
-// mix returns the first servers and then others, n in all.
-func mix(first, others []*server, n int) []*server {
+// fill returns the first servers followed by others, up to n in all.
+func fill(first, others []*server, n int) []*server {
 	list := slices.Clone(first)
 	for _, s := range others {
 		if len(list) == n {
@@ -226,83 +234,85 @@
 	return list
 }
 
-// Unasked tells that servers of Ask were not asked after all.
-func (v *Survey) Unasked(servers []mustardsaddle.Server) {
+// Unasked reports that servers returned by Ask were not queried.
+func (c *Chooser) Unasked(servers []mustardsaddle.Server) {
 	for _, known := range servers {
-		if s := v.byName[known.Name]; s != nil {
-			s.asked = time.Time{}
+		if s := c.byName[known.Name]; s != nil {
+			s.queriedAt = time.Time{}
 		}
 	}
 }
 
-// Asked tells what became of a question.
-func (v *Survey) Asked(now time.Time, name string, reply mustardsaddle.Reply) {
-	s := v.byName[name]
+// Asked records the result of a load query.
+func (c *Chooser) Asked(now time.Time, name string, reply mustardsaddle.Reply) {
+	s := c.byName[name]
 	if s == nil {
 		return
 	}
-	s.asked = time.Time{}
+	s.queriedAt = time.Time{}
 	switch reply {
 	case mustardsaddle.NoReply:
-		s.missed++
+		s.missedQueries++
 		s.missedAt = now
-		if s.missed == silentQuestions {
-			v.tell(s.Name, reasonSilent, silentPause, s.failures)
+		if s.missedQueries == unresponsiveQueries {
+			c.recordExclusion(s.Name, reasonUnresponsive, unresponsivePause, s.failureRate)
 		}
 	case mustardsaddle.OtherReply:
-		s.gone(now)
-		v.tell(s.Name, reasonGone, gonePause, s.failures)
+		s.markAddressTaken(now)
+		c.recordExclusion(s.Name, reasonAddressTaken, addressTakenPause, s.failureRate)
 	case mustardsaddle.OwnReply:
-		s.missed = 0
+		s.missedQueries = 0
 	}
 }
 
-// Probe picks the server with the oldest probe among those that leave by their
-// reports alone: no call asks them, and only reports can bring them back. All other
-// questions come with calls.
-func (v *Survey) Probe(now time.Time, _ *rand.Rand) (mustardsaddle.Server, bool) {
-	gap := v.cfg.ProbeInterval * time.Duration(max(len(v.gateways), 1))
+// Probe picks the server with the oldest probe among those that are leaving only
+// because of their own reports: calls do not query them, and only reports can bring
+// them back. All other load queries are made by calls.
+func (c *Chooser) Probe(now time.Time, _ *rand.Rand) (mustardsaddle.Server, bool) {
+	interval := c.cfg.ProbeInterval * time.Duration(max(len(c.gateways), 1))
 	var next *server
-	for _, s := range v.servers {
-		if !s.Leaving || !s.MayReturn || now.Sub(s.probed) < gap {
+	for _, s := range c.servers {
+		if !s.Leaving || !s.MayReturn || now.Sub(s.probedAt) < interval {
 			continue
 		}
-		if next == nil || s.probed.Before(next.probed) {
+		if next == nil || s.probedAt.Before(next.probedAt) {
 			next = s
 		}
 	}
 	if next == nil {
 		return mustardsaddle.Server{}, false
 	}
-	next.probed = now
+	next.probedAt = now
 	return next.Server, true
 }
 
-// Choose picks the server with the best score that has room.
-func (v *Survey) Choose(now time.Time, rng *rand.Rand, need mustardsaddle.Need) (mustardsaddle.Choice, bool) {
+// Choose picks the server with the best score among those with capacity.
+func (c *Chooser) Choose(now time.Time, rng *rand.Rand, need mustardsaddle.Need) (mustardsaddle.Choice, bool) {
 	reason := reasonReport
-	best := v.best(now, rng, need, func(s *server) bool { return s.fresh(now, v.cfg.Fresh) && s.hasRoom(v.cfg.SlowRatio*v.usual) })
-	if best == nil && (need.Blind || !v.reporting) {
-		reason = reasonOwn
-		best = v.best(now, rng, need, func(s *server) bool { return s.inFlight < s.slots() })
+	best := c.lowestScore(now, rng, need, func(s *server) bool {
+		return s.fresh(now, c.cfg.Fresh) && s.hasCapacity(c.cfg.SlowRatio*c.medianSlowness)
+	})
+	if best == nil && (need.Blind || !c.hasReports) {
+		reason = reasonOwnInFlight
+		best = c.lowestScore(now, rng, need, func(s *server) bool { return s.inFlight < s.slots() })
 	}
 	if best == nil {
 		return mustardsaddle.Choice{}, false
 	}
 	choice := mustardsaddle.Choice{Server: best.Server, Reason: reason, Report: best.report}
-	choice.Report.InFlight = best.busy
+	choice.Report.InFlight = best.load
 	best.inFlight++
-	best.busy++
+	best.load++
 	return choice, true
 }
 
-// best returns the usable server with the lowest score that passes the test. Among
-// equals each has the same chance.
-func (v *Survey) best(now time.Time, rng *rand.Rand, need mustardsaddle.Need, test func(*server) bool) *server {
+// lowestScore returns the eligible server with the lowest score that accept admits.
+// Ties are broken uniformly at random.
+func (c *Chooser) lowestScore(now time.Time, rng *rand.Rand, need mustardsaddle.Need, accept func(*server) bool) *server {
 	var best *server
 	lowest, ties := 0.0, 0
-	for _, s := range v.servers {
-		if !v.usable(now, s, need) || !test(s) {
+	for _, s := range c.servers {
+		if !c.eligible(now, s, need) || !accept(s) {
 			continue
 		}
 		score := s.score(now, need)
@@ -319,89 +329,93 @@
 	return best
 }
 
-// usable reports whether a server may be chosen at all.
-func (v *Survey) usable(now time.Time, s *server, need mustardsaddle.Need) bool {
-	return !s.Leaving && !slices.Contains(need.Exclude, s.Name) && !s.isOut(now) && !s.silent(now)
+// eligible reports whether a server may be queried or chosen, regardless of its
+// load.
+func (c *Chooser) eligible(now time.Time, s *server, need mustardsaddle.Need) bool {
+	return !s.Leaving && !slices.Contains(need.Exclude, s.Name) && !s.isEjected(now) && !s.unresponsive(now)
 }
 
-// Finish tells how a chosen attempt ended.
-func (v *Survey) Finish(now time.Time, r mustardsaddle.Result) {
-	s := v.byName[r.Server]
+// Finish records the result of a chosen attempt.
+func (c *Chooser) Finish(now time.Time, r mustardsaddle.Result) {
+	s := c.byName[r.Server]
 	if s == nil {
 		return
 	}
 	s.inFlight = max(s.inFlight-1, 0)
-	s.busy = max(s.busy-1, 0)
+	s.load = max(s.load-1, 0)
 	switch {
 	case r.Gone:
-		s.gone(now)
-		v.tell(s.Name, reasonGone, gonePause, s.failures)
+		s.markAddressTaken(now)
+		c.recordExclusion(s.Name, reasonAddressTaken, addressTakenPause, s.failureRate)
 	case r.Failed:
-		s.fail()
-		v.takeOut(now, s)
-	case r.Shed && s.saysRoom(now.Add(-r.Latency)):
-		// It sheds although it says that it has room, which is no sign of load.
-		s.refusals++
-		if s.refusals >= outRefusals {
-			s.failures = max(s.failures, outFailures)
-			v.takeOut(now, s)
+		s.recordFailure()
+		c.eject(now, s)
+	case r.Shed && s.reportsCapacity(now.Add(-r.Latency)):
+		// The server sheds although it has just reported a free slot, so the shed
+		// does not indicate load.
+		s.unexplainedSheds++
+		if s.unexplainedSheds >= ejectSheds {
+			s.failureRate = max(s.failureRate, ejectFailureRate)
+			c.eject(now, s)
 		}
 	case r.Shed:
-		s.busy = max(s.busy, s.slots())
+		s.load = max(s.load, s.slots())
 	case r.Outcome == mustardsaddle.Ran && !r.Canceled:
-		s.succeed()
+		s.recordSuccess()
 	}
 }
 
-// takeOut takes a server out that has failed too often, unless too many are out.
-func (v *Survey) takeOut(now time.Time, s *server) {
-	if s.failures < outFailures || s.isOut(now) {
+// eject ejects a server whose failure rate is too high, unless the share of ejected
+// servers has reached its bound.
+func (c *Chooser) eject(now time.Time, s *server) {
+	if s.failureRate < ejectFailureRate || s.isEjected(now) {
 		return
 	}
-	out := 0
-	for _, other := range v.servers {
-		if other.isOut(now) {
-			out++
+	ejected := 0
+	for _, other := range c.servers {
+		if other.isEjected(now) {
+			ejected++
 		}
 	}
-	if float64(out+1) <= v.cfg.MaxOut*float64(len(v.servers)) {
-		failures := s.failures
-		s.takeOut(now)
-		v.tell(s.Name, reasonFailures, s.outUntil.Sub(now), failures)
+	if float64(ejected+1) <= c.cfg.MaxOut*float64(len(c.servers)) {
+		failureRate := s.failureRate
+		s.eject(now)
+		c.recordExclusion(s.Name, reasonFailures, s.ejectedUntil.Sub(now), failureRate)
 	}
 }
 
-// tell notes a verdict for the log.
-func (v *Survey) tell(server, reason string, d time.Duration, failures float64) {
-	v.verdicts = append(v.verdicts, mustardsaddle.Verdict{Server: server, Reason: reason, For: d, Failures: failures})
+// recordExclusion keeps an exclusion for the log.
+func (c *Chooser) recordExclusion(server, reason string, d time.Duration, failureRate float64) {
+	c.exclusions = append(c.exclusions, mustardsaddle.Verdict{Server: server, Reason: reason, For: d, Failures: failureRate})
 }
 
-// Verdicts returns the servers that were taken out since the last call.
-func (v *Survey) Verdicts() []mustardsaddle.Verdict {
-	verdicts := v.verdicts
-	v.verdicts = nil
-	return verdicts
+// Verdicts returns the servers that were excluded since the last call.
+func (c *Chooser) Verdicts() []mustardsaddle.Verdict {
+	exclusions := c.exclusions
+	c.exclusions = nil
+	return exclusions
 }
 
-// Observe takes a load report of a server.
-func (v *Survey) Observe(_ time.Time, name string, report mustardsaddle.Report) {
-	s := v.byName[name]
+// Observe records a load report of a server.
+func (c *Chooser) Observe(_ time.Time, name string, report mustardsaddle.Report) {
+	s := c.byName[name]
 	if s == nil {
 		return
 	}
-	v.reporting = true
-	v.learnUsual(report.Slowness)
+	c.hasReports = true
+	c.updateMedianSlowness(report.Slowness)
 	s.report = report
-	s.busy = report.InFlight
+	s.load = report.InFlight
 }
 
-// learnUsual moves the median slowness towards a reported one by a small step, so
-// that it settles where as many reports lie above as below.
-func (v *Survey) learnUsual(slowness float64) {
+// updateMedianSlowness moves the estimate of the median towards a reported value by
+// a fixed step, so that it settles where as many reports are above it as below. It
+// never falls below nominalSlowness.
+func (c *Chooser) updateMedianSlowness(slowness float64) {
 	switch {
-	case slowness > v.usual:
-		v.usual += usualStep
-	case slowness < v.usual:
-		v.usual = max(v.usual-usualStep, usualSlowness)
+	case slowness > c.medianSlowness:
+		c.medianSlowness += medianStep
+	case slowness < c.medianSlowness:
+		c.medianSlowness = max(c.medianSlowness-medianStep, nominalSlowness)
 	}
 }
--- a/internal/choice/survey/survey_test.go
+++ b/internal/choice/survey/survey_test.go
@@ -13,8 +13,8 @@
 )
 
 var (
-	start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	near  = mustardsaddle.Need{Zone: "zone-a"}
+	start    = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	sameZone = mustardsaddle.Need{Zone: "zone-a"}
 )
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
@@ -31,14 +31,14 @@
 	return list
 }
 
-func report(now time.Time, busy int, slowness float64) mustardsaddle.Report {
-	return mustardsaddle.Report{InFlight: busy, Slots: 2, Slowness: slowness, At: now}
+func report(now time.Time, inFlight int, slowness float64) mustardsaddle.Report {
+	return mustardsaddle.Report{InFlight: inFlight, Slots: 2, Slowness: slowness, At: now}
 }
 
-func newSurvey(n int) *survey.Survey {
-	v := survey.New(survey.Config{})
-	v.SetServers(start, servers(n))
-	return v
+func newChooser(n int) *survey.Chooser {
+	chooser := survey.New(survey.Config{})
+	chooser.SetServers(start, servers(n))
+	return chooser
 }
 
 func TestChoosesByReport(t *testing.T) {
@@ -48,20 +48,20 @@
 		need    mustardsaddle.Need
 		want    string
 	}{
-		{"the idle one", []mustardsaddle.Report{report(start, 1, 1), report(start, 0, 1), report(start, 2, 1)}, near, "booking-1"},
-		{"a quick one with a free slot before a slow idle one", []mustardsaddle.Report{report(start, 0, 4), report(start, 1, 1)}, near, "booking-1"},
-		{"none whose slots are taken", []mustardsaddle.Report{report(start, 2, 1), report(start, 3, 1)}, near, ""},
-		{"none that would make it wait, however quick", []mustardsaddle.Report{report(start, 3, 1), report(start, 2, 1)}, near, ""},
-		{"a slow one that is idle", []mustardsaddle.Report{report(start, 0, 4), report(start, 2, 1)}, near, "booking-0"},
-		{"none with the last slot of a slow one", []mustardsaddle.Report{report(start, 1, 4), report(start, 2, 1)}, near, ""},
-		{"none by an old report", []mustardsaddle.Report{report(start.Add(-time.Second), 0, 1)}, near, ""},
-		{"none that was tried", []mustardsaddle.Report{report(start, 0, 1)}, mustardsaddle.Need{Exclude: []string{"booking-0"}}, ""},
+		{"prefers the idle server", []mustardsaddle.Report{report(start, 1, 1), report(start, 0, 1), report(start, 2, 1)}, sameZone, "booking-1"},
+		{"prefers a fast server with a free slot to a slow idle one", []mustardsaddle.Report{report(start, 0, 4), report(start, 1, 1)}, sameZone, "booking-1"},
+		{"rejects servers without a free slot", []mustardsaddle.Report{report(start, 2, 1), report(start, 3, 1)}, sameZone, ""},
+		{"rejects servers with a queue, however fast", []mustardsaddle.Report{report(start, 3, 1), report(start, 2, 1)}, sameZone, ""},
+		{"accepts a slow server that is idle", []mustardsaddle.Report{report(start, 0, 4), report(start, 2, 1)}, sameZone, "booking-0"},
+		{"keeps the last slot of a slow server free", []mustardsaddle.Report{report(start, 1, 4), report(start, 2, 1)}, sameZone, ""},
+		{"ignores a stale report", []mustardsaddle.Report{report(start.Add(-time.Second), 0, 1)}, sameZone, ""},
+		{"skips a server that was tried already", []mustardsaddle.Report{report(start, 0, 1)}, mustardsaddle.Need{Exclude: []string{"booking-0"}}, ""},
 	} {
-		v := newSurvey(len(c.reports))
+		chooser := newChooser(len(c.reports))
 		for i, r := range c.reports {
-			v.Observe(start, fmt.Sprintf("booking-%d", i), r)
+			chooser.Observe(start, fmt.Sprintf("booking-%d", i), r)
 		}
-		choice, ok := v.Choose(start, newRand(), c.need)
+		choice, ok := chooser.Choose(start, newRand(), c.need)
 		if ok != (c.want != "") || choice.Server.Name != c.want {
 			t.Errorf("%s: got %q, want %q", c.name, choice.Server.Name, c.want)
 		}
@@ -70,24 +70,24 @@
 
 func TestSlownessIsJudgedAmongPeers(t *testing.T) {
 	convey.Convey("Given servers on VMs that are all four times as slow as usual, one slot of each taken", t, func() {
-		v := newSurvey(3)
+		chooser := newChooser(3)
 		for range 200 {
 			for i := range 3 {
-				v.Observe(start, fmt.Sprintf("booking-%d", i), report(start, 1, 4))
+				chooser.Observe(start, fmt.Sprintf("booking-%d", i), report(start, 1, 4))
 			}
 		}
 		convey.Convey("Their last slots are used", func() {
-			_, ok := v.Choose(start, newRand(), near)
+			_, ok := chooser.Choose(start, newRand(), sameZone)
 			convey.So(ok, convey.ShouldBeTrue)
 		})
-		convey.Convey("One that is slower still keeps its last slot free", func() {
-			v.Observe(start, "booking-0", report(start, 1, 12))
+		convey.Convey("The last slot of an even slower server stays free", func() {
+			chooser.Observe(start, "booking-0", report(start, 1, 12))
 			for range 2 {
-				choice, ok := v.Choose(start, newRand(), near)
+				choice, ok := chooser.Choose(start, newRand(), sameZone)
 				convey.So(ok, convey.ShouldBeTrue)
 				convey.So(choice.Server.Name, convey.ShouldNotEqual, "booking-0")
 			}
-			_, ok := v.Choose(start, newRand(), near)
+			_, ok := chooser.Choose(start, newRand(), sameZone)
 			convey.So(ok, convey.ShouldBeFalse)
 		})
 	})
@@ -96,61 +96,61 @@
 func TestShedsWithoutReason(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// busy is what the server reports with each shed, in two slots.
-		busy int
-		// served is how many attempts in between run.
+		// inFlight is the load that the server reports with each shed; it has two slots.
+		inFlight int
+		// served is the number of successful attempts before each shed.
 		served int
 		want   bool
 	}{
-		{"servers that shed while they have room leave the choice", 0, 0, false},
-		{"full servers stay", 2, 0, true},
-		{"servers that serve in between stay", 0, 1, true},
+		{"servers that shed while they have capacity are ejected", 0, 0, false},
+		{"full servers are not ejected", 2, 0, true},
+		{"servers with successes between the sheds are not ejected", 0, 1, true},
 	} {
-		v, now := newSurvey(3), start
+		chooser, now := newChooser(3), start
 		shed := func() {
-			v.Observe(now, "booking-0", report(now.Add(time.Millisecond), c.busy, 1))
+			chooser.Observe(now, "booking-0", report(now.Add(time.Millisecond), c.inFlight, 1))
 			now = now.Add(2 * time.Millisecond)
-			v.Finish(now, mustardsaddle.Result{Server: "booking-0", Outcome: mustardsaddle.NotRun, Shed: true, Latency: 2 * time.Millisecond})
+			chooser.Finish(now, mustardsaddle.Result{Server: "booking-0", Outcome: mustardsaddle.NotRun, Shed: true, Latency: 2 * time.Millisecond})
 		}
 		for range 3 {
 			for range c.served {
-				v.Finish(now, mustardsaddle.Result{Server: "booking-0", Outcome: mustardsaddle.Ran})
+				chooser.Finish(now, mustardsaddle.Result{Server: "booking-0", Outcome: mustardsaddle.Ran})
 			}
 			shed()
 		}
-		v.Observe(now, "booking-0", report(now, 0, 1))
-		if _, ok := v.Choose(now, newRand(), near); ok != c.want {
-			t.Errorf("%s: got chosen %v, want %v", c.name, ok, c.want)
+		chooser.Observe(now, "booking-0", report(now, 0, 1))
+		if _, ok := chooser.Choose(now, newRand(), sameZone); ok != c.want {
+			t.Errorf("%s: got server chosen %v, want %v", c.name, ok, c.want)
 		}
 	}
 }
 
 func TestGuessesWhenNobodyMayBeAsked(t *testing.T) {
-	convey.Convey("Given a server whose last report is old", t, func() {
-		v := newSurvey(1)
-		v.Observe(start, "booking-0", report(start, 2, 1))
+	convey.Convey("Given a server whose last report is stale", t, func() {
+		chooser := newChooser(1)
+		chooser.Observe(start, "booking-0", report(start, 2, 1))
 		now := start.Add(time.Second)
-		convey.Convey("It is not chosen while servers can be asked", func() {
-			_, ok := v.Choose(now, newRand(), near)
+		convey.Convey("It is not chosen while servers can be queried", func() {
+			_, ok := chooser.Choose(now, newRand(), sameZone)
 			convey.So(ok, convey.ShouldBeFalse)
 		})
-		convey.Convey("It is chosen without a question up to its slots", func() {
+		convey.Convey("Without queries, it is chosen up to its number of slots", func() {
 			for range 2 {
-				choice, ok := v.Choose(now, newRand(), near.WithBlind(true))
+				choice, ok := chooser.Choose(now, newRand(), sameZone.WithBlind(true))
 				convey.So(ok, convey.ShouldBeTrue)
 				convey.So(choice.Reason, convey.ShouldEqual, "Own")
 			}
-			_, ok := v.Choose(now, newRand(), near.WithBlind(true))
+			_, ok := chooser.Choose(now, newRand(), sameZone.WithBlind(true))
 			convey.So(ok, convey.ShouldBeFalse)
 		})
 	})
 }
 
 func TestQuestionsRunShort(t *testing.T) {
-	convey.Convey("Given 20 questions a second, of which a call asks 8 at most", t, func() {
+	convey.Convey("Given a limit of 20 queries per second and 8 per call", t, func() {
 		q, now := survey.NewQuestions(8), start
 		q.SetRate(now, 20)
-		spend := func() int {
+		query := func() int {
 			n := q.Next(now)
 			for i := range n {
 				if !q.Take(now) {
@@ -160,17 +160,17 @@
 			return n
 		}
 		now = now.Add(time.Minute)
-		convey.Convey("Calls ask fewer and fewer, and at last nobody", func() {
-			var asked []int
+		convey.Convey("Successive calls send fewer queries, and at last none", func() {
+			var sent []int
 			for range 10 {
-				asked = append(asked, spend())
+				sent = append(sent, query())
 			}
-			convey.So(asked, convey.ShouldResemble, []int{8, 8, 8, 8, 4, 2, 2, 0, 0, 0})
+			convey.So(sent, convey.ShouldResemble, []int{8, 8, 8, 8, 4, 2, 2, 0, 0, 0})
 		})
-		convey.Convey("No more is asked in any time than the rate and what was saved for two seconds", func() {
+		convey.Convey("The total stays within the rate plus a burst of two seconds", func() {
 			total := 0
 			for range 600 {
-				total += spend()
+				total += query()
 				now = now.Add(10 * time.Millisecond)
 			}
 			convey.So(total, convey.ShouldBeBetweenOrEqual, 6*20, 6*20+2*20)
@@ -179,87 +179,88 @@
 }
 
 func TestKnowsAPartOfALargeService(t *testing.T) {
-	convey.Convey("Given 256 servers and 16 gateways, each of which knows about 32", t, func() {
+	convey.Convey("Given 256 servers and 16 gateways that know about 32 servers each", t, func() {
 		fleet := make([]mustardsaddle.VM, 16)
 		for i := range fleet {
 			fleet[i].Name = fmt.Sprintf("gateway-%02d", i)
 		}
-		v := newSurvey(256)
-		v.SetFleet(start, "gateway-03", fleet)
-		known := v.Ask(start, newRand(), near, 256)
-		convey.Convey("It asks those only", func() {
+		chooser := newChooser(256)
+		chooser.SetFleet(start, "gateway-03", fleet)
+		known := chooser.Ask(start, newRand(), sameZone, 256)
+		convey.Convey("A gateway queries only its subset", func() {
 			convey.So(len(known), convey.ShouldBeBetween, 16, 64)
 		})
-		convey.Convey("What it knows of them stays when another gateway leaves", func() {
-			v.Observe(start, known[0].Name, report(start, 0, 1))
-			v.SetFleet(start, "gateway-03", fleet[1:])
-			choice, ok := v.Choose(start, newRand(), near)
+		convey.Convey("Its state of a server is kept when another gateway leaves", func() {
+			chooser.Observe(start, known[0].Name, report(start, 0, 1))
+			chooser.SetFleet(start, "gateway-03", fleet[1:])
+			choice, ok := chooser.Choose(start, newRand(), sameZone)
 			convey.So(ok, convey.ShouldBeTrue)
 			convey.So(choice.Server.Name, convey.ShouldEqual, known[0].Name)
 		})
-		convey.Convey("Alone it knows all", func() {
-			v.SetFleet(start, "gateway-03", fleet[3:4])
-			convey.So(v.Ask(start, newRand(), near, 256), convey.ShouldHaveLength, 256-len(known))
+		convey.Convey("A single gateway knows all servers", func() {
+			chooser.SetFleet(start, "gateway-03", fleet[3:4])
+			convey.So(chooser.Ask(start, newRand(), sameZone, 256), convey.ShouldHaveLength, 256-len(known))
 		})
 	})
 }
 
 func TestOwnAttemptsCount(t *testing.T) {
 	convey.Convey("Given one idle server", t, func() {
-		v, rng := newSurvey(1), newRand()
-		v.Observe(start, "booking-0", report(start, 0, 1))
+		chooser, rng := newChooser(1), newRand()
+		chooser.Observe(start, "booking-0", report(start, 0, 1))
 		for range 2 {
-			_, ok := v.Choose(start, rng, near)
+			_, ok := chooser.Choose(start, rng, sameZone)
 			convey.So(ok, convey.ShouldBeTrue)
 		}
 		convey.Convey("It takes no more attempts than it has slots", func() {
-			_, ok := v.Choose(start, rng, near)
+			_, ok := chooser.Choose(start, rng, sameZone)
 			convey.So(ok, convey.ShouldBeFalse)
 		})
-		convey.Convey("An attempt that ends makes room, one that was shed does not", func() {
-			v.Finish(start, mustardsaddle.Result{Server: "booking-0", Outcome: mustardsaddle.Ran})
-			_, ok := v.Choose(start, rng, near)
+		convey.Convey("A finished attempt frees a slot, a shed one does not", func() {
+			chooser.Finish(start, mustardsaddle.Result{Server: "booking-0", Outcome: mustardsaddle.Ran})
+			_, ok := chooser.Choose(start, rng, sameZone)
 			convey.So(ok, convey.ShouldBeTrue)
-			v.Finish(start, mustardsaddle.Result{Server: "booking-0", Outcome: mustardsaddle.NotRun, Shed: true})
-			_, ok = v.Choose(start, rng, near)
+			chooser.Finish(start, mustardsaddle.Result{Server: "booking-0", Outcome: mustardsaddle.NotRun, Shed: true})
+			_, ok = chooser.Choose(start, rng, sameZone)
 			convey.So(ok, convey.ShouldBeFalse)
 		})
 	})
 }
 
-// TestGreyServers answers the pattern of servers that say they are well and fail
-// their requests.
+// TestGreyServers covers servers with a gray failure: they report that they are
+// healthy and fail their requests. Since they look idle, they would attract most of
+// the attempts.
 func TestGreyServers(t *testing.T) {
-	convey.Convey("Given a server that fails every request, and looks idle for it", t, func() {
-		v, rng := newSurvey(5), newRand()
-		grey, failed, now := "booking-0", 0, start
+	convey.Convey("Given a server that fails every request and therefore looks idle", t, func() {
+		chooser, rng := newChooser(5), newRand()
+		failing, failed, now := "booking-0", 0, start
 		for range 60 {
 			now = now.Add(20 * time.Millisecond)
 			for i := range 5 {
-				v.Observe(now, fmt.Sprintf("booking-%d", i), report(now, min(i, 1), 1))
+				chooser.Observe(now, fmt.Sprintf("booking-%d", i), report(now, min(i, 1), 1))
 			}
-			choice, ok := v.Choose(now, rng, near)
+			choice, ok := chooser.Choose(now, rng, sameZone)
 			convey.So(ok, convey.ShouldBeTrue)
 			r := mustardsaddle.Result{Server: choice.Server.Name, Outcome: mustardsaddle.Ran}
-			if choice.Server.Name == grey {
-				r = mustardsaddle.Result{Server: grey, Failed: true}
+			if choice.Server.Name == failing {
+				r = mustardsaddle.Result{Server: failing, Failed: true}
 				failed++
 			}
-			v.Finish(now, r)
+			chooser.Finish(now, r)
 		}
-		convey.Convey("It leaves the choice within a few requests, though answers to questions say that it is well", func() {
+		convey.Convey("It is ejected within a few requests, although it reports that it is healthy", func() {
 			convey.So(failed, convey.ShouldBeBetweenOrEqual, 1, 3)
 		})
 	})
-	convey.Convey("Given that all servers fail, a part of them stays in the choice", t, func() {
-		v, rng, now := newSurvey(5), newRand(), start
+	convey.Convey("Given that all servers fail, some of them are not ejected", t, func() {
+		chooser, rng, now := newChooser(5), newRand(), start
 		for range 100 {
 			for i := range 5 {
-				v.Observe(now, fmt.Sprintf("booking-%d", i), report(now, 0, 1))
+				chooser.Observe(now, fmt.Sprintf("booking-%d", i), report(now, 0, 1))
 			}
-			choice, ok := v.Choose(now, rng, near)
+			choice, ok := chooser.Choose(now, rng, sameZone)
 			convey.So(ok, convey.ShouldBeTrue)
-			v.Finish(now, mustardsaddle.Result{Server: choice.Server.Name, Failed: true})
+			chooser.Finish(now, mustardsaddle.Result{Server: choice.Server.Name, Failed: true})
 		}
 	})
 }
@@ -268,85 +269,85 @@
 	fail := mustardsaddle.Result{Server: "booking-0", Failed: true}
 	for _, c := range []struct {
 		name   string
-		do     func(v *survey.Survey)
+		do     func(chooser *survey.Chooser)
 		reason string
 	}{
-		{"one failure", func(v *survey.Survey) { v.Finish(start, fail) }, ""},
-		{"two failures in a row", func(v *survey.Survey) { v.Finish(start, fail); v.Finish(start, fail) }, "Failures"},
-		{"one question without an answer", func(v *survey.Survey) { v.Asked(start, "booking-0", mustardsaddle.NoReply) }, ""},
-		{"two in a row", func(v *survey.Survey) {
-			v.Asked(start, "booking-0", mustardsaddle.NoReply)
-			v.Asked(start, "booking-0", mustardsaddle.NoReply)
+		{"one failure", func(chooser *survey.Chooser) { chooser.Finish(start, fail) }, ""},
+		{"two failures in a row", func(chooser *survey.Chooser) { chooser.Finish(start, fail); chooser.Finish(start, fail) }, "Failures"},
+		{"one unanswered query", func(chooser *survey.Chooser) { chooser.Asked(start, "booking-0", mustardsaddle.NoReply) }, ""},
+		{"two unanswered queries in a row", func(chooser *survey.Chooser) {
+			chooser.Asked(start, "booking-0", mustardsaddle.NoReply)
+			chooser.Asked(start, "booking-0", mustardsaddle.NoReply)
 		}, "Silent"},
-		{"an answer of another server", func(v *survey.Survey) { v.Asked(start, "booking-0", mustardsaddle.OtherReply) }, "OtherServer"},
+		{"an answer from another server", func(chooser *survey.Chooser) { chooser.Asked(start, "booking-0", mustardsaddle.OtherReply) }, "OtherServer"},
 	} {
-		v := newSurvey(5)
-		c.do(v)
-		verdicts := v.Verdicts()
+		chooser := newChooser(5)
+		c.do(chooser)
+		exclusions := chooser.Verdicts()
 		if c.reason == "" {
-			if len(verdicts) > 0 {
-				t.Errorf("%s: got %+v, want no verdict", c.name, verdicts)
+			if len(exclusions) > 0 {
+				t.Errorf("%s: got %+v, want no exclusion", c.name, exclusions)
 			}
 			continue
 		}
-		if len(verdicts) != 1 || verdicts[0].Server != "booking-0" || verdicts[0].Reason != c.reason || verdicts[0].For <= 0 {
-			t.Errorf("%s: got %+v, want one of %s", c.name, verdicts, c.reason)
+		if len(exclusions) != 1 || exclusions[0].Server != "booking-0" || exclusions[0].Reason != c.reason || exclusions[0].For <= 0 {
+			t.Errorf("%s: got %+v, want one exclusion with reason %s", c.name, exclusions, c.reason)
 		}
-		if again := v.Verdicts(); len(again) > 0 {
-			t.Errorf("%s: got %+v told twice", c.name, again)
+		if again := chooser.Verdicts(); len(again) > 0 {
+			t.Errorf("%s: got %+v again, want each exclusion returned once", c.name, again)
 		}
 	}
 }
 
 func TestAsk(t *testing.T) {
 	convey.Convey("Given twenty servers", t, func() {
-		v, rng := newSurvey(20), newRand()
-		convey.Convey("As many as wanted are asked, each once at a time", func() {
-			first := v.Ask(start, rng, near, 8)
-			second := v.Ask(start, rng, near, 8)
+		chooser, rng := newChooser(20), newRand()
+		convey.Convey("Up to n servers are returned, none with a pending query", func() {
+			first := chooser.Ask(start, rng, sameZone, 8)
+			second := chooser.Ask(start, rng, sameZone, 8)
 			convey.So(first, convey.ShouldHaveLength, 8)
 			convey.So(second, convey.ShouldHaveLength, 8)
 			for _, s := range second {
 				convey.So(first, convey.ShouldNotContain, s)
 			}
 		})
-		convey.Convey("One whose report is a moment old is not asked, and one that was good is", func() {
+		convey.Convey("A server with a recent report is skipped, and the best last known one is included", func() {
 			for i := range 20 {
-				v.Observe(start, fmt.Sprintf("booking-%d", i), report(start, 2, 4))
+				chooser.Observe(start, fmt.Sprintf("booking-%d", i), report(start, 2, 4))
 			}
-			v.Observe(start, "booking-7", report(start, 0, 1))
-			convey.So(v.Ask(start.Add(time.Millisecond), rng, near, 8), convey.ShouldBeEmpty)
-			later := v.Ask(start.Add(100*time.Millisecond), rng, near, 4)
+			chooser.Observe(start, "booking-7", report(start, 0, 1))
+			convey.So(chooser.Ask(start.Add(time.Millisecond), rng, sameZone, 8), convey.ShouldBeEmpty)
+			later := chooser.Ask(start.Add(100*time.Millisecond), rng, sameZone, 4)
 			names := make([]string, len(later))
 			for i, s := range later {
 				names[i] = s.Name
 			}
 			convey.So(names, convey.ShouldContain, "booking-7")
 		})
-		convey.Convey("One that leaves two questions unanswered is not asked for a while", func() {
-			one := newSurvey(1)
+		convey.Convey("A server that leaves two queries unanswered is skipped for a while", func() {
+			single := newChooser(1)
 			for range 2 {
-				convey.So(one.Ask(start, rng, near, 8), convey.ShouldHaveLength, 1)
-				one.Asked(start, "booking-0", mustardsaddle.NoReply)
+				convey.So(single.Ask(start, rng, sameZone, 8), convey.ShouldHaveLength, 1)
+				single.Asked(start, "booking-0", mustardsaddle.NoReply)
 			}
-			convey.So(one.Ask(start, rng, near, 8), convey.ShouldBeEmpty)
-			convey.So(one.Ask(start.Add(time.Second), rng, near, 8), convey.ShouldHaveLength, 1)
+			convey.So(single.Ask(start, rng, sameZone, 8), convey.ShouldBeEmpty)
+			convey.So(single.Ask(start.Add(time.Second), rng, sameZone, 8), convey.ShouldHaveLength, 1)
 		})
 	})
 }
 
 func TestReplacedServer(t *testing.T) {
-	convey.Convey("Given a server that failed and starts again under its name", t, func() {
-		v, rng := newSurvey(2), newRand()
+	convey.Convey("Given a server that failed and restarted under the same name", t, func() {
+		chooser, rng := newChooser(2), newRand()
 		for range 3 {
-			v.Finish(start, mustardsaddle.Result{Server: "booking-0", Failed: true})
+			chooser.Finish(start, mustardsaddle.Result{Server: "booking-0", Failed: true})
 		}
 		list := servers(2)
 		list[0].Incarnation = 2
-		v.SetServers(start, list)
-		convey.Convey("Nothing of its earlier life counts", func() {
-			v.Observe(start, "booking-0", report(start, 0, 1))
-			choice, ok := v.Choose(start, rng, near)
+		chooser.SetServers(start, list)
+		convey.Convey("No state of its previous incarnation is kept", func() {
+			chooser.Observe(start, "booking-0", report(start, 0, 1))
+			choice, ok := chooser.Choose(start, rng, sameZone)
 			convey.So(ok, convey.ShouldBeTrue)
 			convey.So(choice.Server.Name, convey.ShouldEqual, "booking-0")
 		})
@@ -354,11 +355,11 @@
 }
 
 func TestServiceWithoutReports(t *testing.T) {
-	convey.Convey("Given servers that never tell their load, own attempts decide", t, func() {
-		v, rng := newSurvey(3), newRand()
+	convey.Convey("Given servers that never report their load, own attempts in flight decide", t, func() {
+		chooser, rng := newChooser(3), newRand()
 		seen := make(map[string]int)
 		for range 6 {
-			choice, ok := v.Choose(start, rng, near)
+			choice, ok := chooser.Choose(start, rng, sameZone)
 			convey.So(ok, convey.ShouldBeTrue)
 			convey.So(choice.Reason, convey.ShouldEqual, "Own")
 			seen[choice.Server.Name]++
@@ -367,54 +368,54 @@
 	})
 }
 
-// TestReusedAddress answers the pattern of servers that end without a word and whose
-// addresses go to servers of another service.
+// TestReusedAddress covers servers that end without notice and whose addresses are
+// then assigned to servers of another service.
 func TestReusedAddress(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		tell func(v *survey.Survey)
+		name   string
+		signal func(chooser *survey.Chooser)
 	}{
-		{"a question is answered by another server", func(v *survey.Survey) {
-			v.Asked(start, "booking-0", mustardsaddle.OtherReply)
+		{"another server answers a query", func(chooser *survey.Chooser) {
+			chooser.Asked(start, "booking-0", mustardsaddle.OtherReply)
 		}},
-		{"an attempt is answered by another server", func(v *survey.Survey) {
-			v.Finish(start, mustardsaddle.Result{Server: "booking-0", Outcome: mustardsaddle.NotRun, Gone: true})
+		{"another server answers an attempt", func(chooser *survey.Chooser) {
+			chooser.Finish(start, mustardsaddle.Result{Server: "booking-0", Outcome: mustardsaddle.NotRun, Gone: true})
 		}},
 	} {
-		v, rng := newSurvey(1), newRand()
-		v.Observe(start, "booking-0", report(start, 0, 1))
-		c.tell(v)
-		if choice, ok := v.Choose(start, rng, near); ok {
+		chooser, rng := newChooser(1), newRand()
+		chooser.Observe(start, "booking-0", report(start, 0, 1))
+		c.signal(chooser)
+		if choice, ok := chooser.Choose(start, rng, sameZone); ok {
 			t.Errorf("%s: got %s chosen, want none", c.name, choice.Server.Name)
 		}
-		if asked := v.Ask(start.Add(time.Second), rng, near, 8); len(asked) > 0 {
-			t.Errorf("%s: got it asked a second later, want it left alone", c.name)
+		if queried := chooser.Ask(start.Add(time.Second), rng, sameZone, 8); len(queried) > 0 {
+			t.Errorf("%s: got it queried a second later, want it skipped", c.name)
 		}
-		if asked := v.Ask(start.Add(5*time.Second), rng, near, 8); len(asked) != 1 {
-			t.Errorf("%s: got %d asked later, want 1", c.name, len(asked))
+		if queried := chooser.Ask(start.Add(5*time.Second), rng, sameZone, 8); len(queried) != 1 {
+			t.Errorf("%s: got %d queried later, want 1", c.name, len(queried))
 		}
 	}
 }
 
-// A server that leaves by its reports alone gets no calls and so no questions; only
-// probes show that it is back.
+// A server that is leaving only by its own reports gets no calls and so no queries
+// with them; only probes show that it is back.
 func TestProbesServersThatMayReturn(t *testing.T) {
-	convey.Convey("Given three servers that leave, two of them by their reports alone, and two gateways", t, func() {
+	convey.Convey("Given two gateways and three leaving servers, two of which are leaving only by their reports", t, func() {
 		const interval = 500 * time.Millisecond
-		v := survey.New(survey.Config{ProbeInterval: interval})
+		chooser := survey.New(survey.Config{ProbeInterval: interval})
 		list := servers(4)
 		for i := range 3 {
 			list[i].Leaving = true
 			list[i].MayReturn = i < 2
 		}
-		v.SetServers(start, list)
-		v.SetFleet(start, "gateway-1", []mustardsaddle.VM{{Name: "gateway-1"}, {Name: "gateway-2"}})
-		convey.Convey("Those two are probed in turn, each at this gateway's part of the interval", func() {
+		chooser.SetServers(start, list)
+		chooser.SetFleet(start, "gateway-1", []mustardsaddle.VM{{Name: "gateway-1"}, {Name: "gateway-2"}})
+		convey.Convey("Those two are probed in turn, each at this gateway's share of the rate", func() {
 			seen := make(map[string]int)
 			rng := newRand()
 			const span = 10 * time.Second
 			for at := time.Duration(0); at < span; at += 50 * time.Millisecond {
-				if s, ok := v.Probe(start.Add(at), rng); ok {
+				if s, ok := chooser.Probe(start.Add(at), rng); ok {
 					seen[s.Name]++
 				}
 			}
