--- a/internal/choice/bench/bench.go
+++ b/internal/choice/bench/bench.go
@@ -1,27 +1,28 @@
-// Package bench chooses the endpoint server for each attempt of one service.
+// Package bench chooses the endpoint server for each attempt of one service by a
+// load-balancing policy.
 //
-// A Bench ranks servers by a Policy. Around it the same rules hold for every
-// policy: a server that leaves or drains is never chosen; a server that fails
-// or lags far behind its peers is ejected, but never more than a bounded share
-// of the servers, and taken back by probes with a growing backoff; a new server
-// starts slowly; a server holds a bounded number of this gateway's attempts.
-// When every server that remains is ejected, ejection is ignored.
+// A Chooser ranks servers by a Policy. The following rules hold for every policy. A
+// server that is leaving or draining is never chosen. A server that fails, or whose
+// latency is far above that of its peers, is ejected. The share of ejected servers
+// is bounded, and probes readmit them with exponential backoff. A new server is
+// ramped up by slow start. The number of this gateway's attempts in one server is
+// bounded. If every remaining server is ejected, ejection is ignored.
 //
-// A Bench is a deterministic state machine: time and the random source are
-// arguments. Its owner holds a lock.
+// A Chooser is a deterministic state machine: time and the random source are
+// arguments. The caller must serialize access to it.
 //
 // # Usage
 //
-//	b := bench.New(bench.Config{})
-//	b.SetServers(now, servers)
-//	b.SetFleet(now, "gateway-1", gateways)
-//	choice, ok := b.Choose(now, rng, mustardsaddle.Need{Zone: "a"})
+//	c := bench.New(bench.Config{})
+//	c.SetServers(now, servers)
+//	c.SetFleet(now, "gateway-1", gateways)
+//	choice, ok := c.Choose(now, rng, mustardsaddle.Need{Zone: "a"})
 //	...
-//	b.Observe(now, choice.Server.Name, report)
-//	b.Finish(now, mustardsaddle.Result{Server: choice.Server.Name, Outcome: mustardsaddle.Ran})
+//	c.Observe(now, choice.Server.Name, report)
+//	c.Finish(now, mustardsaddle.Result{Server: choice.Server.Name, Outcome: mustardsaddle.Ran})
 //
-// Observe comes before the Finish of the attempt that brought the report, since
-// the report counts that attempt.
+// Call Observe before the Finish of the attempt whose response carried the report,
+// since the report counts that attempt.
 package bench
 
 import (
@@ -36,45 +37,48 @@
 )
 
 const (
-	// othersGain is the weight of a report in the mean load of a server.
-	othersGain = 0.05
-	// defaultShedPause is how long a shed server without known latency counts
-	// as full.
+	// otherLoadAlpha is the weight of one report in the moving average of the load
+	// that other gateways put on a server.
+	otherLoadAlpha = 0.05
+	// defaultShedPause is how long a server that shed counts as full if its latency
+	// is unknown.
 	defaultShedPause = 5 * time.Millisecond
-	// minShedPause and maxShedPause bound that time.
+	// minShedPause and maxShedPause bound how long a server that shed counts as
+	// full.
 	minShedPause = time.Millisecond
 	maxShedPause = 50 * time.Millisecond
 )
 
-// Config configures a Bench. Zero values mean the defaults.
+// Config configures a Chooser. Zero values select the defaults.
 type Config struct {
 	// Policy ranks the servers.
 	Policy Policy
-	// IgnoreShed leaves out that a server which shed counts as full for the
-	// time in which a slot is likely to come free. Only comparisons set it.
+	// IgnoreShed keeps a server that shed eligible, instead of counting it as full
+	// until a slot is likely to be free. It exists for comparisons only.
 	IgnoreShed bool
 	// Queue is how many attempts of this gateway a server may hold beyond its
 	// slots; -1 means none.
 	Queue int
-	// SlowStart is the time over which a new server gets its full share; below 0
-	// there is none.
+	// SlowStart is the time over which a new server ramps up to its full share. A
+	// negative value disables slow start.
 	SlowStart time.Duration
-	// MaxEjected is the largest share of servers that are ejected at a time;
-	// below 0 none is ejected.
+	// MaxEjected is the largest share of servers that are ejected at a time. A
+	// negative value disables ejection.
 	MaxEjected float64
-	// ReportHalfLife is the age at which a report counts half.
+	// ReportHalfLife is the age at which the weight of a report has halved.
 	ReportHalfLife time.Duration
-	// ReportUses is how many choices one report serves.
+	// ReportUses is the maximum number of choices for which one report is used.
 	ReportUses int
-	// ProbeInterval is the least time between two probes of one server by the
-	// whole fleet. Each gateway keeps as many times that time as there are live
-	// gateways, so that a growing fleet does not raise a server's probe rate.
+	// ProbeInterval is the minimum time between two probes of one server by all
+	// gateways together. Each gateway multiplies it by the number of live gateways,
+	// so that a growing fleet does not raise the probe rate of a server.
 	ProbeInterval time.Duration
-	// Subset is about how many servers a gateway knows of a larger service.
+	// Subset is the approximate number of servers that a gateway knows of a larger
+	// service.
 	Subset int
 }
 
-// withDefaults returns c with the defaults in place of zero values.
+// withDefaults returns c with zero values replaced by the defaults.
 func (c Config) withDefaults() Config {
 	if c.Policy == Default {
 		c.Policy = PreferredSpill
@@ -90,191 +94,196 @@
 	return c
 }
 
-// Bench is the state of one service's servers as this gateway sees them.
-type Bench struct {
+// Chooser holds this gateway's view of the servers of one service.
+type Chooser struct {
 	cfg Config
 
-	// all are the servers of the roster, of which servers are those this
-	// gateway knows, ordered by name.
-	all      []mustardsaddle.Server
-	servers  []*server
-	byName   map[string]*server
-	gateways []mustardsaddle.VM
-	self     string
-	fleet    int
-	started  bool
+	// all holds the servers in the roster, ordered by name. servers holds the
+	// subset that this gateway knows.
+	all          []mustardsaddle.Server
+	servers      []*server
+	byName       map[string]*server
+	gateways     []mustardsaddle.VM
+	self         string
+	gatewayCount int
+	initialized  bool
 
-	open []*server
-	turn string
+	candidates []*server
+	lastPicked string
 
-	// others is the mean load of other gateways on a server.
-	others float64
-	// surprise is the share of outcomes that no report foresaw.
-	surprise float64
-	// latencies is the sum over the measured servers, in seconds.
-	latencies float64
-	measured  int
-	ejected   int
+	// meanOtherLoad is the moving average, over all servers, of the load that other
+	// gateways put on a server.
+	meanOtherLoad float64
+	// mispredictionRate is the moving share of outcomes that contradicted the last
+	// report of their server.
+	mispredictionRate float64
+	// latencySum is the sum of the average latencies, in seconds, of the
+	// latencyCount servers for which one is known.
+	latencySum   float64
+	latencyCount int
+	ejectedCount int
 }
 
-var _ mustardsaddle.FleetSetter = (*Bench)(nil)
+var _ mustardsaddle.FleetSetter = (*Chooser)(nil)
 
-// New returns a Bench without servers.
-func New(cfg Config) *Bench {
-	return &Bench{cfg: cfg.withDefaults(), fleet: 1, byName: make(map[string]*server)}
+// New returns a Chooser without servers.
+func New(cfg Config) *Chooser {
+	return &Chooser{cfg: cfg.withDefaults(), gatewayCount: 1, byName: make(map[string]*server)}
 }
 
-// SetServers replaces the set of known servers. Servers of the first set count
-// as warm, since it is the gateway that is new; later ones start slowly.
-func (b *Bench) SetServers(now time.Time, servers []mustardsaddle.Server) {
+// SetServers replaces the set of known servers. Servers of the first set count as
+// warm, since it is the gateway that is new. Servers that are added later go
+// through slow start.
+func (c *Chooser) SetServers(now time.Time, servers []mustardsaddle.Server) {
 	sorted := slices.Clone(servers)
 	slices.SortFunc(sorted, func(a, b mustardsaddle.Server) int { return strings.Compare(a.Name, b.Name) })
-	if slices.Equal(sorted, b.all) {
+	if slices.Equal(sorted, c.all) {
 		return
 	}
-	b.all = sorted
-	b.rebuild(now)
-	b.started = b.started || len(servers) > 0
+	c.all = sorted
+	c.rebuild(now)
+	c.initialized = c.initialized || len(servers) > 0
 }
 
-// SetFleet tells which gateways share the servers.
-func (b *Bench) SetFleet(now time.Time, self string, gateways []mustardsaddle.VM) {
-	// A leaving gateway takes no new calls, and needs no slots of its own.
+// SetFleet sets the gateways that share the servers.
+func (c *Chooser) SetFleet(now time.Time, self string, gateways []mustardsaddle.VM) {
+	// A leaving gateway takes no new calls and needs no slots assigned to it.
 	sorted := slices.DeleteFunc(slices.Clone(gateways), func(g mustardsaddle.VM) bool { return g.Leaving })
 	slices.SortFunc(sorted, func(a, b mustardsaddle.VM) int { return strings.Compare(a.Name, b.Name) })
-	b.fleet = max(1, len(gateways))
-	if self == b.self && slices.Equal(sorted, b.gateways) {
+	c.gatewayCount = max(1, len(gateways))
+	if self == c.self && slices.Equal(sorted, c.gateways) {
 		return
 	}
-	b.self = self
-	b.gateways = sorted
-	b.rebuild(now)
+	c.self = self
+	c.gateways = sorted
+	c.rebuild(now)
 }
 
-// rebuild takes the roster and the fleet into the state, and keeps the state of
-// servers that stay.
-func (b *Bench) rebuild(now time.Time) {
-	known := share.Subset(b.all, b.gateways, b.self, b.cfg.Subset)
-	owned := share.Slots(staying(known), b.gateways, b.self)
+// rebuild recomputes the subset of servers and the assigned slots. The state of
+// servers that stay is kept.
+func (c *Chooser) rebuild(now time.Time) {
+	known := share.Subset(c.all, c.gateways, c.self, c.cfg.Subset)
+	assigned := share.Slots(withoutLeaving(known), c.gateways, c.self)
 	byName := make(map[string]*server, len(known))
-	for name, s := range b.byName {
+	for name, s := range c.byName {
 		if s.inFlight > 0 {
-			s.gone = true
+			s.removed = true
 			byName[name] = s
 		}
 	}
-	b.servers = b.servers[:0]
+	c.servers = c.servers[:0]
 	for _, next := range known {
-		s := b.byName[next.Name]
+		s := c.byName[next.Name]
 		if s == nil {
 			s = &server{Server: next}
-			if b.started {
-				s.since = now
+			if c.initialized {
+				s.slowStartAt = now
 			}
 		}
 		if next.Incarnation > s.Incarnation {
 			s.restart(now)
 		}
 		s.Server = next
-		s.gone = false
-		s.owned = owned[next.Name]
+		s.removed = false
+		s.assignedSlots = assigned[next.Name]
 		byName[next.Name] = s
-		b.servers = append(b.servers, s)
+		c.servers = append(c.servers, s)
 	}
-	b.byName = byName
-	b.recount(now)
+	c.byName = byName
+	c.recomputeTotals(now)
 }
 
-// staying returns the servers that are not leaving.
-func staying(servers []mustardsaddle.Server) []mustardsaddle.Server {
+// withoutLeaving returns the servers that are not leaving.
+func withoutLeaving(servers []mustardsaddle.Server) []mustardsaddle.Server {
 	return slices.DeleteFunc(slices.Clone(servers), func(s mustardsaddle.Server) bool { return s.Leaving })
 }
 
-// recount works out the sums over the servers anew. A smaller set may bound the
-// ejected servers more tightly; those that have been out longest come back.
-func (b *Bench) recount(now time.Time) {
-	b.latencies, b.measured, b.ejected = 0, 0, 0
-	for _, s := range b.servers {
-		b.latencies += s.latency
+// recomputeTotals recomputes the totals over all servers. A smaller set can lower
+// the number of servers that may be ejected; those whose ejection ends first are
+// then readmitted.
+func (c *Chooser) recomputeTotals(now time.Time) {
+	c.latencySum, c.latencyCount, c.ejectedCount = 0, 0, 0
+	for _, s := range c.servers {
+		c.latencySum += s.latency
 		if s.latency > 0 {
-			b.measured++
+			c.latencyCount++
 		}
 		if s.ejection.active {
-			b.ejected++
+			c.ejectedCount++
 		}
 	}
-	for b.ejected > b.ejectable() {
-		var first *server
-		for _, s := range b.servers {
-			if s.ejection.active && (first == nil || s.ejection.until.Before(first.ejection.until)) {
-				first = s
+	for c.ejectedCount > c.maxEjected() {
+		var earliest *server
+		for _, s := range c.servers {
+			if s.ejection.active && (earliest == nil || s.ejection.until.Before(earliest.ejection.until)) {
+				earliest = s
 			}
 		}
-		b.admit(now, first)
+		c.readmit(now, earliest)
 	}
 }
 
 // Choose picks a server by the policy.
-func (b *Bench) Choose(now time.Time, rng *rand.Rand, need mustardsaddle.Need) (mustardsaddle.Choice, bool) {
-	b.collect(now, need, false)
-	if len(b.open) == 0 && b.ejected > 0 {
-		b.collect(now, need, true)
+func (c *Chooser) Choose(now time.Time, rng *rand.Rand, need mustardsaddle.Need) (mustardsaddle.Choice, bool) {
+	c.collectCandidates(now, need, false)
+	if len(c.candidates) == 0 && c.ejectedCount > 0 {
+		c.collectCandidates(now, need, true)
 	}
-	if len(b.open) == 0 {
+	if len(c.candidates) == 0 {
 		return mustardsaddle.Choice{}, false
 	}
-	s, reason := b.pick(now, rng, need.Zone)
+	s, reason := c.selectServer(now, rng, need.Zone)
 	s.inFlight++
-	s.uses++
+	s.reportUses++
 	return mustardsaddle.Choice{Server: s.Server, Reason: reason}, true
 }
 
-// collect fills open with the servers that may take an attempt now.
-func (b *Bench) collect(now time.Time, need mustardsaddle.Need, ejected bool) {
-	b.open = b.open[:0]
-	for _, s := range b.servers {
-		if s.Leaving || s.report.Draining || s.inFlight >= b.limit(now, s) || now.Before(s.fullUntil) {
+// collectCandidates fills candidates with the servers that may take an attempt now.
+func (c *Chooser) collectCandidates(now time.Time, need mustardsaddle.Need, includeEjected bool) {
+	c.candidates = c.candidates[:0]
+	for _, s := range c.servers {
+		if s.Leaving || s.report.Draining || s.inFlight >= c.attemptLimit(now, s) || now.Before(s.fullUntil) {
 			continue
 		}
-		if b.out(now, s) && !ejected {
+		if c.isEjected(now, s) && !includeEjected {
 			continue
 		}
 		if slices.Contains(need.Exclude, s.Name) {
 			continue
 		}
-		b.open = append(b.open, s)
+		c.candidates = append(c.candidates, s)
 	}
 }
 
-// Finish tells how a chosen attempt ended.
-func (b *Bench) Finish(now time.Time, r mustardsaddle.Result) {
-	s := b.byName[r.Server]
+// Finish records the result of a chosen attempt.
+func (c *Chooser) Finish(now time.Time, r mustardsaddle.Result) {
+	s := c.byName[r.Server]
 	if s == nil || s.inFlight == 0 {
 		return
 	}
 	s.inFlight--
-	if s.gone {
+	if s.removed {
 		if s.inFlight == 0 {
-			delete(b.byName, r.Server)
+			delete(c.byName, r.Server)
 		}
 		return
 	}
-	b.judge(now, s, r)
+	c.recordPrediction(now, s, r)
 	if r.Shed {
-		b.fill(now, s)
+		c.markFull(now, s)
 		return
 	}
 	if !r.Canceled && !r.Failed {
 		s.fullUntil = time.Time{}
 	}
-	b.learn(now, s, r)
-	b.eject(now, s)
+	c.updateAverages(now, s, r)
+	c.eject(now, s)
 }
 
-// fill marks a server that shed as full until one of its slots is likely to be
+// markFull marks a server that shed as full until one of its slots is likely to be
 // free.
-func (b *Bench) fill(now time.Time, s *server) {
-	if b.cfg.IgnoreShed {
+func (c *Chooser) markFull(now time.Time, s *server) {
+	if c.cfg.IgnoreShed {
 		return
 	}
 	pause := defaultShedPause
@@ -284,64 +293,66 @@
 	s.fullUntil = now.Add(min(maxShedPause, max(minShedPause, pause)))
 }
 
-// Observe takes a load report of a server. Own attempts are known better than
-// the report can tell, so only what exceeds them is kept, up to twice the slots.
-func (b *Bench) Observe(now time.Time, name string, report mustardsaddle.Report) {
-	s := b.byName[name]
-	if s == nil || s.gone || report.At.Before(s.report.At) {
+// Observe records a load report of a server. This gateway's own attempts are known
+// more exactly than the report states them, so only the load beyond them is kept,
+// up to twice the slots.
+func (c *Chooser) Observe(now time.Time, name string, report mustardsaddle.Report) {
+	s := c.byName[name]
+	if s == nil || s.removed || report.At.Before(s.report.At) {
 		return
 	}
 	s.report = report
-	s.uses = 0
-	s.others = float64(min(max(0, report.InFlight-s.inFlight), 2*s.slots()))
-	b.others += othersGain * (s.others - b.others)
+	s.reportUses = 0
+	s.otherLoad = float64(min(max(0, report.InFlight-s.inFlight), 2*s.slots()))
+	c.meanOtherLoad += otherLoadAlpha * (s.otherLoad - c.meanOtherLoad)
 	if !report.Draining && !now.Before(s.ejection.until) {
-		b.admit(now, s)
+		c.readmit(now, s)
 	}
 }
 
-// Probe picks the server whose load is most worth asking for: one that a report
-// can bring back (ejected, draining, or leaving by its reports alone), then the
-// one with the oldest report if the policy reads reports.
-func (b *Bench) Probe(now time.Time, rng *rand.Rand) (mustardsaddle.Server, bool) {
-	p := newPick(rng, "")
-	gap := b.cfg.ProbeInterval * time.Duration(b.fleet)
-	for _, s := range b.servers {
-		if now.Sub(s.probed) < gap {
+// Probe picks the server with the oldest report or probe. A server that a report
+// can bring back (ejected, draining, or leaving only by its own reports) counts as
+// twice as old. Other servers are probed only if the policy uses reports.
+func (c *Chooser) Probe(now time.Time, rng *rand.Rand) (mustardsaddle.Server, bool) {
+	sel := newSelection(rng, "")
+	interval := c.cfg.ProbeInterval * time.Duration(c.gatewayCount)
+	for _, s := range c.servers {
+		if now.Sub(s.probedAt) < interval {
 			continue
 		}
-		if worth, ok := b.worth(now, s); ok {
-			p.offer(s, -worth)
+		if value, ok := c.probeValue(now, s); ok {
+			sel.offer(s, -value)
 		}
 	}
-	if p.best == nil {
+	if sel.best == nil {
 		return mustardsaddle.Server{}, false
 	}
-	p.best.probed = now
-	return p.best.Server, true
+	sel.best.probedAt = now
+	return sel.best.Server, true
 }
 
-// worth returns what a report of the server is worth, in seconds without one, or
-// false if it is worth nothing now.
-func (b *Bench) worth(now time.Time, s *server) (float64, bool) {
+// probeValue returns the priority of probing the server, which grows with the
+// seconds since its last report or probe. It returns false if the server need not
+// be probed now.
+func (c *Chooser) probeValue(now time.Time, s *server) (float64, bool) {
 	if s.Leaving && !s.MayReturn {
 		return 0, false
 	}
 	last := s.report.At
-	if s.probed.After(last) {
-		last = s.probed
+	if s.probedAt.After(last) {
+		last = s.probedAt
 	}
-	worth := now.Sub(last).Seconds()
+	value := now.Sub(last).Seconds()
 	if s.Leaving || s.report.Draining || (s.ejection.active && !now.Before(s.ejection.until)) {
-		return 2 * worth, true
+		return 2 * value, true
 	}
-	reads := b.cfg.Policy == HotCold || b.cfg.Policy == PreferredSpill
-	return worth, reads && !s.ejection.active
+	usesReports := c.cfg.Policy == HotCold || c.cfg.Policy == PreferredSpill
+	return value, usesReports && !s.ejection.active
 }
 
-// InFlight returns this gateway's own attempts on a server.
-func (b *Bench) InFlight(name string) int {
-	if s := b.byName[name]; s != nil {
+// InFlight returns the number of this gateway's attempts in flight on a server.
+func (c *Chooser) InFlight(name string) int {
+	if s := c.byName[name]; s != nil {
 		return s.inFlight
 	}
 	return 0
@@ -349,6 +360,6 @@
 
 // Ejected returns how many of the known servers are ejected, and how many are
 // known.
-func (b *Bench) Ejected() (ejected, known int) {
-	return b.ejected, len(b.servers)
+func (c *Chooser) Ejected() (ejected, known int) {
+	return c.ejectedCount, len(c.servers)
 }
--- a/internal/choice/bench/bench_test.go
+++ b/internal/choice/bench/bench_test.go
@@ -17,7 +17,7 @@
 
 var policies = []bench.Policy{bench.RoundRobin, bench.TwoChoices, bench.HotCold, bench.PreferredSpill}
 
-func serversOf(n int) []mustardsaddle.Server {
+func newServers(n int) []mustardsaddle.Server {
 	servers := make([]mustardsaddle.Server, n)
 	for i := range servers {
 		servers[i] = mustardsaddle.Server{
@@ -27,7 +27,7 @@
 	return servers
 }
 
-func gatewaysOf(n int) []mustardsaddle.VM {
+func newGateways(n int) []mustardsaddle.VM {
 	gateways := make([]mustardsaddle.VM, n)
 	for i := range gateways {
 		gateways[i] = mustardsaddle.VM{Name: fmt.Sprintf("gateway-%d", i), Zone: string(rune('a' + i%3))}
@@ -35,89 +35,89 @@
 	return gateways
 }
 
-// world drives a bench with random events and keeps what must hold.
-type world struct {
+// simulation drives a Chooser with random events and checks its invariants.
+type simulation struct {
 	t        *rapid.T
-	b        *bench.Bench
+	chooser  *bench.Chooser
 	now      time.Time
 	rng      *rand.Rand
 	servers  []mustardsaddle.Server
 	draining map[string]bool
-	flight   map[string]int
-	log      []string
+	inFlight map[string]int
+	choices  []string
 }
 
-func newWorld(t *rapid.T, cfg bench.Config, seed uint64) *world {
-	w := &world{
-		t: t, b: bench.New(cfg), now: start, rng: rand.New(rand.NewPCG(seed, 2)),
-		servers: serversOf(6), draining: make(map[string]bool), flight: make(map[string]int),
+func newSimulation(t *rapid.T, cfg bench.Config, seed uint64) *simulation {
+	sim := &simulation{
+		t: t, chooser: bench.New(cfg), now: start, rng: rand.New(rand.NewPCG(seed, 2)),
+		servers: newServers(6), draining: make(map[string]bool), inFlight: make(map[string]int),
 	}
-	w.b.SetServers(w.now, w.servers)
-	w.b.SetFleet(w.now, "gateway-0", gatewaysOf(3))
-	return w
+	sim.chooser.SetServers(sim.now, sim.servers)
+	sim.chooser.SetFleet(sim.now, "gateway-0", newGateways(3))
+	return sim
 }
 
-func (w *world) choose() {
-	c, ok := w.b.Choose(w.now, w.rng, mustardsaddle.Need{Zone: "a"})
-	w.log = append(w.log, c.Server.Name+c.Reason)
+func (sim *simulation) choose() {
+	c, ok := sim.chooser.Choose(sim.now, sim.rng, mustardsaddle.Need{Zone: "a"})
+	sim.choices = append(sim.choices, c.Server.Name+c.Reason)
 	if !ok {
 		return
 	}
-	w.flight[c.Server.Name]++
-	if c.Server.Leaving || w.draining[c.Server.Name] {
-		w.t.Fatalf("choose: got %s, which is leaving or draining", c.Server.Name)
+	sim.inFlight[c.Server.Name]++
+	if c.Server.Leaving || sim.draining[c.Server.Name] {
+		sim.t.Fatalf("choose: got %s, which is leaving or draining", c.Server.Name)
 	}
-	if n := w.flight[c.Server.Name]; n > 3 {
-		w.t.Fatalf("choose: got %d attempts in %s, want at most 3", n, c.Server.Name)
+	if n := sim.inFlight[c.Server.Name]; n > 3 {
+		sim.t.Fatalf("choose: got %d attempts in %s, want at most 3", n, c.Server.Name)
 	}
 }
 
-func (w *world) finish(name string) {
-	if w.flight[name] == 0 {
+func (sim *simulation) finish(name string) {
+	if sim.inFlight[name] == 0 {
 		return
 	}
-	w.flight[name]--
-	w.b.Finish(w.now, mustardsaddle.Result{
-		Server: name, Shed: w.rng.IntN(5) == 0, Failed: w.rng.IntN(2) == 0, Canceled: w.rng.IntN(8) == 0,
-		Latency: time.Duration(w.rng.IntN(100)) * time.Millisecond,
+	sim.inFlight[name]--
+	sim.chooser.Finish(sim.now, mustardsaddle.Result{
+		Server: name, Shed: sim.rng.IntN(5) == 0, Failed: sim.rng.IntN(2) == 0, Canceled: sim.rng.IntN(8) == 0,
+		Latency: time.Duration(sim.rng.IntN(100)) * time.Millisecond,
 	})
 }
 
 // step applies one random event and checks the invariants.
-func (w *world) step(kind int) {
-	w.now = w.now.Add(time.Duration(w.rng.IntN(300)) * time.Millisecond)
-	i := w.rng.IntN(len(w.servers))
-	name := w.servers[i].Name
-	switch kind {
+func (sim *simulation) step(event int) {
+	sim.now = sim.now.Add(time.Duration(sim.rng.IntN(300)) * time.Millisecond)
+	i := sim.rng.IntN(len(sim.servers))
+	name := sim.servers[i].Name
+	switch event {
 	case 0:
-		w.servers[i] = w.servers[i].WithLeaving(!w.servers[i].Leaving)
-		w.b.SetServers(w.now, w.servers)
+		sim.servers[i] = sim.servers[i].WithLeaving(!sim.servers[i].Leaving)
+		sim.chooser.SetServers(sim.now, sim.servers)
 	case 1:
-		w.draining[name] = w.rng.IntN(3) == 0
-		w.b.Observe(w.now, name, mustardsaddle.Report{InFlight: w.rng.IntN(9), Draining: w.draining[name], At: w.now})
+		sim.draining[name] = sim.rng.IntN(3) == 0
+		sim.chooser.Observe(sim.now, name, mustardsaddle.Report{InFlight: sim.rng.IntN(9), Draining: sim.draining[name], At: sim.now})
 	case 2:
-		// A server goes and comes back with attempts in flight.
-		w.b.SetServers(w.now, w.servers[1:])
-		w.b.SetServers(w.now, w.servers)
-		if w.flight[w.servers[0].Name] == 0 {
-			w.draining[w.servers[0].Name] = false
+		// A server is removed and added again while attempts are in flight.
+		sim.chooser.SetServers(sim.now, sim.servers[1:])
+		sim.chooser.SetServers(sim.now, sim.servers)
+		if sim.inFlight[sim.servers[0].Name] == 0 {
+			sim.draining[sim.servers[0].Name] = false
 		}
 	case 3, 4, 5:
-		w.finish(name)
+		sim.finish(name)
 	case 6:
-		s, ok := w.b.Probe(w.now, w.rng)
+		s, ok := sim.chooser.Probe(sim.now, sim.rng)
 		if ok && s.Leaving {
-			w.t.Fatalf("probe: got %s, which is leaving", s.Name)
+			sim.t.Fatalf("probe: got %s, which is leaving", s.Name)
 		}
 	default:
-		w.choose()
+		sim.choose()
 	}
-	if ejected, known := w.b.Ejected(); 2*ejected > known {
-		w.t.Fatalf("ejected: got %d of %d, want at most half", ejected, known)
+	if ejected, known := sim.chooser.Ejected(); 2*ejected > known {
+		sim.t.Fatalf("ejected: got %d of %d, want at most half", ejected, known)
 	}
-	for _, s := range w.servers {
-		if got := w.b.InFlight(s.Name); got != w.flight[s.Name] {
-			w.t.Fatalf("in flight at %s: got %d, want %d", s.Name, got, w.flight[s.Name])
+	for _, s := range sim.servers {
+		if got := sim.chooser.InFlight(s.Name); got != sim.inFlight[s.Name] {
+			sim.t.Fatalf("in flight at %s: got %d, want %d", s.Name, got, sim.inFlight[s.Name])
 		}
 	}
 }
@@ -126,15 +126,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := bench.Config{Policy: rapid.SampledFrom(policies).Draw(t, "policy"), IgnoreShed: rapid.Bool().Draw(t, "ignore")}
 		seed := rapid.Uint64().Draw(t, "seed")
-		kinds := rapid.SliceOfN(rapid.IntRange(0, 12), 1, 300).Draw(t, "events")
-		one, two := newWorld(t, cfg, seed), newWorld(t, cfg, seed)
-		for _, kind := range kinds {
-			one.step(kind)
-			two.step(kind)
+		events := rapid.SliceOfN(rapid.IntRange(0, 12), 1, 300).Draw(t, "events")
+		first, second := newSimulation(t, cfg, seed), newSimulation(t, cfg, seed)
+		for _, event := range events {
+			first.step(event)
+			second.step(event)
 		}
-		for i := range one.log {
-			if one.log[i] != two.log[i] {
-				t.Fatalf("choice %d: got %s and %s from equal inputs", i, one.log[i], two.log[i])
+		for i := range first.choices {
+			if first.choices[i] != second.choices[i] {
+				t.Fatalf("choice %d: got %s and %s for the same inputs", i, first.choices[i], second.choices[i])
 			}
 		}
 	})
@@ -143,25 +143,25 @@
 func TestOwnSlotsAreDisjointAndBalanced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, fleet := rapid.IntRange(1, 40).Draw(t, "servers"), rapid.IntRange(1, 20).Draw(t, "gateways")
-		servers, gateways := serversOf(n), gatewaysOf(fleet)
-		owned, most, least := 0, 0, 2*n
+		servers, gateways := newServers(n), newGateways(fleet)
+		total, highest, lowest := 0, 0, 2*n
 		for _, g := range gateways {
 			b := bench.New(bench.Config{Policy: bench.PreferredSpill, Queue: -1})
 			b.SetServers(start, servers)
 			b.SetFleet(start, g.Name, gateways)
-			mine := 0
+			assigned := 0
 			rng := rand.New(rand.NewPCG(1, 1))
 			for {
 				c, ok := b.Choose(start, rng, mustardsaddle.Need{})
 				if !ok || c.Reason != "Preferred" {
 					break
 				}
-				mine++
+				assigned++
 			}
-			owned, most, least = owned+mine, max(most, mine), min(least, mine)
+			total, highest, lowest = total+assigned, max(highest, assigned), min(lowest, assigned)
 		}
-		if share := (2*n + fleet - 1) / fleet; owned != 2*n || most > share {
-			t.Fatalf("assign: got %d slots in all and %d at most, want %d and %d", owned, most, 2*n, share)
+		if share := (2*n + fleet - 1) / fleet; total != 2*n || highest > share {
+			t.Fatalf("assigned slots: got %d in total and %d for one gateway, want %d and at most %d", total, highest, 2*n, share)
 		}
 	})
 }
@@ -171,8 +171,8 @@
 		slowStart := time.Duration(rapid.IntRange(1, 10_000).Draw(t, "slow start")) * time.Millisecond
 		queue := rapid.IntRange(1, 5).Draw(t, "queue")
 		b := bench.New(bench.Config{Policy: rapid.SampledFrom(policies).Draw(t, "policy"), SlowStart: slowStart, Queue: queue})
-		b.SetServers(start, serversOf(1))
-		b.SetServers(start, serversOf(2))
+		b.SetServers(start, newServers(1))
+		b.SetServers(start, newServers(2))
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		for now := start; now.Before(start.Add(2 * slowStart)); now = now.Add(slowStart / 7) {
 			for {
@@ -192,14 +192,14 @@
 func TestProbesOfAServerAreDividedAmongGateways(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := rapid.IntRange(1, 20).Draw(t, "gateways")
-		gateways := gatewaysOf(fleet)
+		gateways := newGateways(fleet)
 		interval := time.Duration(rapid.IntRange(1, 200).Draw(t, "interval")) * time.Millisecond
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		probes := make(map[string]int)
 		const seconds = 20
 		for _, g := range gateways {
 			b := bench.New(bench.Config{Policy: bench.HotCold, ProbeInterval: interval})
-			b.SetServers(start, serversOf(3))
+			b.SetServers(start, newServers(3))
 			b.SetFleet(start, g.Name, gateways)
 			for now := start; now.Before(start.Add(seconds * time.Second)); now = now.Add(time.Duration(rng.IntN(50)) * time.Millisecond) {
 				if s, ok := b.Probe(now, rng); ok {
@@ -218,27 +218,27 @@
 
 func TestHealth(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	tell := func(b *bench.Bench, now time.Time, failing string, latency time.Duration, n int) {
+	runAttempts := func(b *bench.Chooser, now time.Time, failing string, latency time.Duration, n int) {
 		for range n {
 			for range 6 {
 				c, ok := b.Choose(now, rng, mustardsaddle.Need{})
 				if !ok {
 					break
 				}
-				bad := c.Server.Name == failing
-				r := mustardsaddle.Result{Server: c.Server.Name, Failed: bad && latency == 0, Latency: 10 * time.Millisecond}
-				if bad {
+				isFailing := c.Server.Name == failing
+				r := mustardsaddle.Result{Server: c.Server.Name, Failed: isFailing && latency == 0, Latency: 10 * time.Millisecond}
+				if isFailing {
 					r.Latency = latency
 				}
 				b.Finish(now, r)
 			}
 		}
 	}
-	convey.Convey("Given six servers taken in turn", t, func() {
+	convey.Convey("Given six servers chosen by round robin", t, func() {
 		b := bench.New(bench.Config{Policy: bench.RoundRobin})
-		b.SetServers(start, serversOf(6))
-		convey.Convey("one that fails fast is ejected, and readmitted by a report after the backoff", func() {
-			tell(b, start, "booking-0003", 0, 6)
+		b.SetServers(start, newServers(6))
+		convey.Convey("a server that fails fast is ejected, and readmitted by a report after the backoff", func() {
+			runAttempts(b, start, "booking-0003", 0, 6)
 			ejected, _ := b.Ejected()
 			convey.So(ejected, convey.ShouldEqual, 1)
 			b.Observe(start, "booking-0003", mustardsaddle.Report{At: start})
@@ -252,17 +252,17 @@
 			ejected, _ = b.Ejected()
 			convey.So(ejected, convey.ShouldEqual, 0)
 			convey.Convey("and a second ejection lasts longer", func() {
-				tell(b, later, "booking-0003", 0, 8)
+				runAttempts(b, later, "booking-0003", 0, 8)
 				again := later.Add(1100 * time.Millisecond)
 				b.Observe(again, "booking-0003", mustardsaddle.Report{At: again})
 				ejected, _ = b.Ejected()
 				convey.So(ejected, convey.ShouldEqual, 1)
 			})
 		})
-		convey.Convey("an ejected server is chosen when no other remains", func() {
-			tell(b, start, "booking-0003", 0, 6)
+		convey.Convey("an ejected server is chosen if no other server remains", func() {
+			runAttempts(b, start, "booking-0003", 0, 6)
 			var others []string
-			for _, s := range serversOf(6) {
+			for _, s := range newServers(6) {
 				if s.Name != "booking-0003" {
 					others = append(others, s.Name)
 				}
@@ -273,15 +273,15 @@
 			_, ok = b.Choose(start, rng, mustardsaddle.Need{Exclude: append(others, "booking-0003")})
 			convey.So(ok, convey.ShouldBeFalse)
 		})
-		convey.Convey("a straggler is ejected", func() {
-			tell(b, start, "booking-0002", 400*time.Millisecond, 12)
+		convey.Convey("a server with high latency is ejected", func() {
+			runAttempts(b, start, "booking-0002", 400*time.Millisecond, 12)
 			ejected, _ := b.Ejected()
 			convey.So(ejected, convey.ShouldEqual, 1)
 		})
 	})
-	convey.Convey("Given servers that all shed, none is chosen until a slot may be free", t, func() {
+	convey.Convey("Given servers that all shed, none is chosen until a slot is likely to be free", t, func() {
 		b := bench.New(bench.Config{Policy: bench.HotCold})
-		b.SetServers(start, serversOf(2))
+		b.SetServers(start, newServers(2))
 		for range 2 {
 			c, ok := b.Choose(start, rng, mustardsaddle.Need{})
 			convey.So(ok, convey.ShouldBeTrue)
@@ -292,10 +292,10 @@
 		_, ok = b.Choose(start.Add(10*time.Millisecond), rng, mustardsaddle.Need{})
 		convey.So(ok, convey.ShouldBeTrue)
 	})
-	convey.Convey("Given a server that is new, its share grows over the slow start", t, func() {
+	convey.Convey("Given a new server, its attempt limit grows during slow start", t, func() {
 		b := bench.New(bench.Config{Policy: bench.HotCold})
-		b.SetServers(start, serversOf(1))
-		all := serversOf(2)
+		b.SetServers(start, newServers(1))
+		all := newServers(2)
 		b.SetServers(start, all)
 		for _, step := range []struct {
 			after time.Duration
@@ -313,10 +313,10 @@
 			convey.So(b.InFlight(all[1].Name), convey.ShouldEqual, step.want)
 		}
 	})
-	convey.Convey("Given a report of free slots, it draws few choices before it is spent", t, func() {
+	convey.Convey("Given a report of free slots, it is used for a bounded number of choices", t, func() {
 		b := bench.New(bench.Config{Policy: bench.HotCold, Queue: 10})
-		b.SetServers(start, serversOf(10))
-		for i, s := range serversOf(10) {
+		b.SetServers(start, newServers(10))
+		for i, s := range newServers(10) {
 			b.Observe(start, s.Name, mustardsaddle.Report{InFlight: 4 * min(i, 1), At: start})
 		}
 		for range 12 {
@@ -328,23 +328,23 @@
 }
 
 func TestLyingReportsLoseTheirWeight(t *testing.T) {
-	convey.Convey("Given two servers, of which one always reports to be idle and sheds", t, func() {
+	convey.Convey("Given two servers, one of which always reports that it is idle and sheds", t, func() {
 		rng := rand.New(rand.NewPCG(1, 1))
 		b := bench.New(bench.Config{Policy: bench.HotCold, IgnoreShed: true})
-		b.SetServers(start, serversOf(2))
-		liar, now := "booking-0000", start
+		b.SetServers(start, newServers(2))
+		misreporting, now := "booking-0000", start
 		chosen := func(n int) int {
 			count := 0
 			for range n {
 				now = now.Add(10 * time.Millisecond)
-				b.Observe(now, liar, mustardsaddle.Report{At: now})
+				b.Observe(now, misreporting, mustardsaddle.Report{At: now})
 				b.Observe(now, "booking-0001", mustardsaddle.Report{InFlight: 1, At: now})
 				c, ok := b.Choose(now, rng, mustardsaddle.Need{})
 				convey.So(ok, convey.ShouldBeTrue)
-				if c.Server.Name == liar {
+				if c.Server.Name == misreporting {
 					count++
 				}
-				b.Finish(now, mustardsaddle.Result{Server: c.Server.Name, Shed: c.Server.Name == liar, Latency: time.Millisecond})
+				b.Finish(now, mustardsaddle.Result{Server: c.Server.Name, Shed: c.Server.Name == misreporting, Latency: time.Millisecond})
 			}
 			return count
 		}
@@ -360,8 +360,8 @@
 		for _, subset := range []int{128, 10000} {
 			b.Run(fmt.Sprintf("Servers=%d/Subset=%d", n, subset), func(b *testing.B) {
 				chooser := bench.New(bench.Config{Subset: subset})
-				chooser.SetServers(start, serversOf(n))
-				chooser.SetFleet(start, "gateway-0", gatewaysOf(15))
+				chooser.SetServers(start, newServers(n))
+				chooser.SetFleet(start, "gateway-0", newGateways(15))
 				rng := rand.New(rand.NewPCG(1, 1))
 				now := start
 				b.ReportAllocs()
@@ -383,8 +383,8 @@
 	for _, fleet := range []int{15, 400} {
 		b.Run(fmt.Sprintf("Servers=33/Gateways=%d", fleet), func(b *testing.B) {
 			chooser := bench.New(bench.Config{})
-			chooser.SetServers(start, serversOf(33))
-			gateways := gatewaysOf(fleet)
+			chooser.SetServers(start, newServers(33))
+			gateways := newGateways(fleet)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				chooser.SetFleet(start, "gateway-0", gateways[i%2:])
@@ -396,7 +396,7 @@
 func BenchmarkSetServers(b *testing.B) {
 	for _, n := range []int{33, 300, 9200} {
 		b.Run(fmt.Sprintf("Servers=%d", n), func(b *testing.B) {
-			servers := serversOf(n)
+			servers := newServers(n)
 			b.ReportAllocs()
 			for b.Loop() {
 				chooser := bench.New(bench.Config{Subset: n})
--- a/internal/choice/bench/ejection.go
+++ b/internal/choice/bench/ejection.go
@@ -5,83 +5,84 @@
 )
 
 const (
-	// minSamples is how many attempts a judgement of a server needs.
+	// minSamples is the number of attempts required before a server can be ejected.
 	minSamples = 5
-	// ejectErrors is the share of errors from which a server is ejected.
-	ejectErrors = 0.6
-	// ejectRatio is the latency, as a multiple of the peers', from which a
-	// server is ejected.
-	ejectRatio = 4
-	// firstEjection is how long the first ejection lasts at least; each further
-	// one lasts twice as long, up to maxEjection.
-	firstEjection = time.Second
-	maxEjection   = 32 * time.Second
-	// forgiveAfter is the time in service after which earlier ejections no
-	// longer count.
-	forgiveAfter = time.Minute
-	// probeGrace is how long an ejection waits for the report of a probe before
-	// the server is tried by a call, of which a cold server holds one at a time.
-	// In a large fleet, the turn of one gateway to probe may take longer.
-	probeGrace = 5 * time.Second
+	// ejectErrorRate is the error rate from which a server is ejected.
+	ejectErrorRate = 0.6
+	// ejectLatencyRatio is the latency, as a multiple of that of its peers, from
+	// which a server is ejected.
+	ejectLatencyRatio = 4
+	// baseEjection is the minimum duration of the first ejection. Each further
+	// ejection lasts twice as long, up to maxEjection.
+	baseEjection = time.Second
+	maxEjection  = 32 * time.Second
+	// ejectionResetAfter is the time in service after which earlier ejections no
+	// longer count towards the backoff.
+	ejectionResetAfter = time.Minute
+	// probeTimeout is how long an ended ejection waits for the report of a probe
+	// before the server is tried with calls, one at a time while it is cold. In a
+	// large fleet, the probe of one gateway may come later than that.
+	probeTimeout = 5 * time.Second
 )
 
-// ejection is the state of a server that was taken out of the choice.
+// ejection is the outlier ejection state of a server.
 type ejection struct {
-	// active is true while the server is out.
+	// active is true while the server is ejected.
 	active bool
-	// until is when a report may end the ejection.
+	// until is the time from which a report may end the ejection.
 	until time.Time
-	// admitted is when the last ejection ended.
-	admitted time.Time
-	// count is the number of ejections that count for the backoff.
+	// readmittedAt is when the last ejection ended.
+	readmittedAt time.Time
+	// count is the number of ejections that count towards the backoff.
 	count int
 }
 
-// eject takes a server out if it fails or is a straggler, as long as the share
-// of ejected servers stays bounded.
-func (b *Bench) eject(now time.Time, s *server) {
+// eject ejects a server whose error rate or latency is too high, provided that the
+// share of ejected servers stays within its bound.
+func (c *Chooser) eject(now time.Time, s *server) {
 	if s.ejection.active || s.samples < minSamples {
 		return
 	}
-	if s.errors < ejectErrors && b.ratio(now, s) < ejectRatio {
+	if s.errorRate < ejectErrorRate && c.latencyRatio(now, s) < ejectLatencyRatio {
 		return
 	}
-	if b.ejected+1 > b.ejectable() {
+	if c.ejectedCount+1 > c.maxEjected() {
 		return
 	}
 	e := &s.ejection
-	if now.Sub(e.admitted) > forgiveAfter {
+	if now.Sub(e.readmittedAt) > ejectionResetAfter {
 		e.count = 0
 	}
 	e.active = true
-	e.until = now.Add(min(maxEjection, firstEjection<<min(e.count, 8)))
+	e.until = now.Add(min(maxEjection, baseEjection<<min(e.count, 8)))
 	e.count++
-	b.ejected++
+	c.ejectedCount++
 }
 
-// ejectable is how many servers may be out at a time.
-func (b *Bench) ejectable() int {
-	return int(b.cfg.MaxEjected * float64(len(b.servers)))
+// maxEjected returns how many servers may be ejected at a time.
+func (c *Chooser) maxEjected() int {
+	return int(c.cfg.MaxEjected * float64(len(c.servers)))
 }
 
-// admit takes an ejected server back, cold and without its old averages.
-func (b *Bench) admit(now time.Time, s *server) {
+// readmit ends an ejection. The server starts again with slow start and without its
+// previous averages.
+func (c *Chooser) readmit(now time.Time, s *server) {
 	if !s.ejection.active {
 		return
 	}
-	b.ejected--
+	c.ejectedCount--
 	s.ejection.active = false
-	s.ejection.admitted = now
-	s.errors, s.samples = 0, 0
-	b.setLatency(s, 0)
-	s.since = now
+	s.ejection.readmittedAt = now
+	s.errorRate, s.samples = 0, 0
+	c.setLatency(s, 0)
+	s.slowStartAt = now
 }
 
-// out reports whether the server is ejected at the given time, and takes it
-// back once its probe is overdue.
-func (b *Bench) out(now time.Time, s *server) bool {
-	if s.ejection.active && now.After(s.ejection.until.Add(probeGrace)) {
-		b.admit(now, s)
+// isEjected reports whether the server is ejected at the given time. It readmits
+// the server if its probe is overdue.
+func (c *Chooser) isEjected(now time.Time, s *server) bool {
+	if s.ejection.active && now.After(s.ejection.until.Add(probeTimeout)) {
+		c.readmit(now, s)
 	}
 	return s.ejection.active
 }
--- a/internal/choice/bench/policy.go
+++ b/internal/choice/bench/policy.go
@@ -7,26 +7,27 @@
 
 //go:generate go tool -modfile=../../../tools/go.mod stringer -type=Policy -output=policy_string.go
 
-// Policy selects how a Bench ranks the servers that may take an attempt.
+// Policy selects how a Chooser ranks the servers that may take an attempt.
 type Policy int
 
 const (
-	// Default is the policy that won the comparison in docs/MEASUREMENTS.md.
+	// Default is PreferredSpill, which gave the best results in the comparison in
+	// docs/MEASUREMENTS.md.
 	Default Policy = iota
-	// RoundRobin takes the servers in turn.
+	// RoundRobin takes the servers in turn, ordered by name.
 	RoundRobin
 	// TwoChoices takes the one of two random servers that has fewer of this
-	// gateway's own attempts in flight.
+	// gateway's attempts in flight.
 	TwoChoices
-	// HotCold ranks by the requests in flight that the servers report, then by
-	// latency.
+	// HotCold ranks servers by their estimated load, from the requests in flight
+	// that they report, and by latency and errors.
 	HotCold
-	// PreferredSpill takes the slots that are assigned to this gateway while
-	// they are free, and ranks like HotCold when they are not.
+	// PreferredSpill takes the slots that are assigned to this gateway while they
+	// are free, and otherwise ranks like HotCold.
 	PreferredSpill
 )
 
-// Reasons of choices, for the log.
+// Reasons of choices, as logged.
 const (
 	reasonRoundRobin = "RoundRobin"
 	reasonTwoChoices = "TwoChoices"
@@ -36,21 +37,22 @@
 	reasonSpill      = "Spill"
 )
 
-// pick ranks the open servers, of which there is at least one.
-func (b *Bench) pick(now time.Time, rng *rand.Rand, zone string) (*server, string) {
-	switch b.cfg.Policy {
+// selectServer picks one of the candidates, of which there is at least one, and
+// returns the reason.
+func (c *Chooser) selectServer(now time.Time, rng *rand.Rand, zone string) (*server, string) {
+	switch c.cfg.Policy {
 	case RoundRobin:
-		return b.pickInTurn(), reasonRoundRobin
+		return c.pickRoundRobin(), reasonRoundRobin
 	case TwoChoices:
-		return b.pickTwo(rng, zone), reasonTwoChoices
+		return c.pickTwoChoices(rng, zone), reasonTwoChoices
 	case PreferredSpill:
-		if s := b.pickPreferred(now, rng, zone); s != nil {
+		if s := c.pickPreferred(now, rng, zone); s != nil {
 			return s, reasonPreferred
 		}
-		s, _ := b.pickByLoad(now, rng, zone)
+		s, _ := c.pickByLoad(now, rng, zone)
 		return s, reasonSpill
 	default:
-		s, hot := b.pickByLoad(now, rng, zone)
+		s, hot := c.pickByLoad(now, rng, zone)
 		if hot {
 			return s, reasonHot
 		}
@@ -58,22 +60,23 @@
 	}
 }
 
-// pickInTurn returns the open server that follows the last one in name order.
-func (b *Bench) pickInTurn() *server {
-	for _, s := range b.open {
-		if s.Name > b.turn {
-			b.turn = s.Name
+// pickRoundRobin returns the candidate that follows the last pick in the order of
+// names.
+func (c *Chooser) pickRoundRobin() *server {
+	for _, s := range c.candidates {
+		if s.Name > c.lastPicked {
+			c.lastPicked = s.Name
 			return s
 		}
 	}
-	b.turn = b.open[0].Name
-	return b.open[0]
+	c.lastPicked = c.candidates[0].Name
+	return c.candidates[0]
 }
 
-// pickTwo returns the better of two random open servers.
-func (b *Bench) pickTwo(rng *rand.Rand, zone string) *server {
-	s := b.open[rng.IntN(len(b.open))]
-	other := b.open[rng.IntN(len(b.open))]
+// pickTwoChoices returns the better of two random candidates.
+func (c *Chooser) pickTwoChoices(rng *rand.Rand, zone string) *server {
+	s := c.candidates[rng.IntN(len(c.candidates))]
+	other := c.candidates[rng.IntN(len(c.candidates))]
 	if other.inFlight < s.inFlight {
 		return other
 	}
@@ -83,35 +86,35 @@
 	return s
 }
 
-// pickPreferred returns the open server with a free slot of this gateway's own
-// and the best score, or nil. A server whose other load is known to exceed the
-// slots of others counts as busy.
-func (b *Bench) pickPreferred(now time.Time, rng *rand.Rand, zone string) *server {
-	p := newPick(rng, zone)
-	for _, s := range b.open {
-		others, weight := b.reported(now, s)
-		busy := float64(s.inFlight)+weight*others > float64(s.slots())-hotScore
-		if s.inFlight >= s.owned || busy || b.slow(now, s) {
+// pickPreferred returns the candidate with the best score among those with a free
+// slot assigned to this gateway, or nil. It skips degraded servers, and servers
+// that have no slot left because other gateways use more than their own.
+func (c *Chooser) pickPreferred(now time.Time, rng *rand.Rand, zone string) *server {
+	sel := newSelection(rng, zone)
+	for _, s := range c.candidates {
+		otherLoad, weight := c.reportedLoad(now, s)
+		saturated := float64(s.inFlight)+weight*otherLoad > float64(s.slots())-loadWeight
+		if s.inFlight >= s.assignedSlots || saturated || c.degraded(now, s) {
 			continue
 		}
-		p.offer(s, b.score(now, s))
+		sel.offer(s, c.score(now, s))
 	}
-	return p.best
+	return sel.best
 }
 
-// pickByLoad returns the open server with the best score, and whether it is
-// hot: all its slots are thought to be taken.
-func (b *Bench) pickByLoad(now time.Time, rng *rand.Rand, zone string) (*server, bool) {
-	p := newPick(rng, zone)
-	for _, s := range b.open {
-		p.offer(s, b.score(now, s))
+// pickByLoad returns the candidate with the best score, and whether it is hot,
+// which means that all its slots are estimated to be in use.
+func (c *Chooser) pickByLoad(now time.Time, rng *rand.Rand, zone string) (*server, bool) {
+	sel := newSelection(rng, zone)
+	for _, s := range c.candidates {
+		sel.offer(s, c.score(now, s))
 	}
-	return p.best, b.load(now, p.best) >= float64(p.best.slots())
+	return sel.best, c.estimatedLoad(now, sel.best) >= float64(sel.best.slots())
 }
 
-// pick keeps the server with the lowest score. Among equals it prefers the zone
-// of the gateway, and then each with the same chance.
-type pick struct {
+// selection keeps the server with the lowest score. Among equal scores it prefers
+// the gateway's zone, and breaks remaining ties uniformly at random.
+type selection struct {
 	rng   *rand.Rand
 	zone  string
 	best  *server
@@ -119,24 +122,24 @@
 	ties  int
 }
 
-func newPick(rng *rand.Rand, zone string) pick {
-	return pick{rng: rng, zone: zone}
+func newSelection(rng *rand.Rand, zone string) selection {
+	return selection{rng: rng, zone: zone}
 }
 
-// offer considers a server.
-func (p *pick) offer(s *server, score float64) {
-	better := p.best == nil || score < p.score
-	if !better && score > p.score {
+// offer adds a server to the selection.
+func (sel *selection) offer(s *server, score float64) {
+	better := sel.best == nil || score < sel.score
+	if !better && score > sel.score {
 		return
 	}
-	local, bestLocal := s.Zone == p.zone, p.best != nil && p.best.Zone == p.zone
+	local, bestLocal := s.Zone == sel.zone, sel.best != nil && sel.best.Zone == sel.zone
 	switch {
 	case better || (local && !bestLocal):
-		p.best, p.score, p.ties = s, score, 1
+		sel.best, sel.score, sel.ties = s, score, 1
 	case local == bestLocal:
-		p.ties++
-		if p.rng.IntN(p.ties) == 0 {
-			p.best = s
+		sel.ties++
+		if sel.rng.IntN(sel.ties) == 0 {
+			sel.best = s
 		}
 	}
 }
--- a/internal/choice/bench/server.go
+++ b/internal/choice/bench/server.go
@@ -8,73 +8,81 @@
 )
 
 const (
-	// latencyGain is the weight of a new latency in the moving average.
-	latencyGain = 0.1
-	// errorGain is the weight of a new outcome in the share of errors.
-	errorGain = 0.2
-	// surpriseGain and commonSurpriseGain are the weights of a new outcome in the
-	// share of outcomes that a report did not foresee, for one server and for all.
-	surpriseGain       = 0.1
-	commonSurpriseGain = 0.02
-	// surpriseCost is how fast trust falls with that share: at a quarter, a
-	// report counts for nothing.
-	surpriseCost = 4
-	// recentError is the share of errors from which a server's own slots are no
-	// longer preferred: less than one error leaves.
-	recentError = 0.15
-	// errorPenalty multiplies the score of a server that always fails.
+	// latencyAlpha is the weight of one latency in the moving average.
+	latencyAlpha = 0.1
+	// errorAlpha is the weight of one outcome in the error rate.
+	errorAlpha = 0.2
+	// mispredictionAlpha and globalMispredictionAlpha are the weights of one
+	// outcome in the misprediction rate of one server and of all servers.
+	mispredictionAlpha       = 0.1
+	globalMispredictionAlpha = 0.02
+	// mispredictionPenalty is how fast the weight of reports falls with the
+	// misprediction rate: at a quarter, they count for nothing.
+	mispredictionPenalty = 4
+	// recentErrorRate is the error rate above which the slots of a server that are
+	// assigned to this gateway are no longer preferred. It is below the rate that a
+	// single error leaves.
+	recentErrorRate = 0.15
+	// errorPenalty is the relative increase of the score of a server that always
+	// fails.
 	errorPenalty = 20
-	// slowRatio is the latency, as a multiple of the peers', from which a
-	// server ranks behind them.
-	slowRatio = 2
-	// healthHalfLife is the age at which latency and errors count half.
+	// slowLatencyRatio is the latency, as a multiple of that of its peers, from
+	// which a server ranks behind them.
+	slowLatencyRatio = 2
+	// healthHalfLife is the age at which the weight of latency and errors has
+	// halved.
 	healthHalfLife = 2 * time.Second
-	// scoreStep is the difference below which two scores count as equal.
+	// scoreStep is the step to which scores are rounded down; scores within one
+	// step count as equal.
 	scoreStep = 0.125
-	// hotScore is the part of the score that a last free slot adds.
-	hotScore = 0.5
-	// minWarmth is the share of its weight that a cold server starts with.
-	minWarmth = 0.1
+	// loadWeight is what the load of a full server adds to its score. A server with
+	// less than this part of a slot free is not preferred.
+	loadWeight = 0.5
+	// minWarmUpWeight is the share of its full weight with which a cold server
+	// starts.
+	minWarmUpWeight = 0.1
 )
 
-// server is what this gateway knows of one endpoint server.
+// server is the state that a Chooser keeps for one endpoint server.
 type server struct {
 	mustardsaddle.Server
-	// inFlight counts this gateway's own attempts.
+	// inFlight is the number of this gateway's attempts in flight.
 	inFlight int
-	// owned is how many of the slots are assigned to this gateway.
-	owned int
+	// assignedSlots is how many of the server's slots are assigned to this gateway.
+	assignedSlots int
 
 	report mustardsaddle.Report
-	// others is the load of other gateways by the last report.
-	others float64
-	// uses counts the choices since the last report.
-	uses int
-	// surprise is the share of outcomes that the report did not foresee.
-	surprise float64
-
-	// latency is the moving average of successful attempts, in seconds.
+	// otherLoad is the load from other gateways according to the last report.
+	otherLoad float64
+	// reportUses counts the choices since the last report.
+	reportUses int
+	// mispredictionRate is the moving share of outcomes that contradicted the last
+	// report.
+	mispredictionRate float64
+
+	// latency is the moving average of the latency, in seconds; 0 if unknown.
 	latency float64
-	// errors is the moving share of failed attempts.
-	errors float64
+	// errorRate is the moving share of failed attempts.
+	errorRate float64
 	// samples counts the attempts in the averages.
 	samples int
 
-	// learned is when the averages last took in an attempt.
-	learned time.Time
-	// gone is true for a server that left the roster with attempts in flight.
-	gone bool
-	// since is when the slow start began; zero for a warm server.
-	since time.Time
-	// fullUntil is how long a shed server counts as full.
+	// sampledAt is when an attempt was last added to the averages.
+	sampledAt time.Time
+	// removed is true for a server that left the roster while attempts were in
+	// flight.
+	removed bool
+	// slowStartAt is when slow start began; zero for a warm server.
+	slowStartAt time.Time
+	// fullUntil is the time until which a server that shed counts as full.
 	fullUntil time.Time
-	// probed is when the server was last picked for a probe.
-	probed time.Time
+	// probedAt is when the server was last picked for a probe.
+	probedAt time.Time
 
 	ejection ejection
 }
 
-// slots returns how many requests the server runs at a time.
+// slots returns how many requests the server runs concurrently.
 func (s *server) slots() int {
 	switch {
 	case s.Slots > 0:
@@ -86,143 +94,145 @@
 	}
 }
 
-// restart forgets what belonged to an earlier life of the server's VM. Attempts
-// in flight still have to finish.
+// restart clears the state of the previous incarnation of the server's VM. Attempts
+// in flight are kept, since they have yet to finish.
 func (s *server) restart(now time.Time) {
-	*s = server{Server: s.Server, inFlight: s.inFlight, owned: s.owned, since: now}
+	*s = server{Server: s.Server, inFlight: s.inFlight, assignedSlots: s.assignedSlots, slowStartAt: now}
 }
 
-// warmth grows from minWarmth to 1 over the slow start.
-func (b *Bench) warmth(now time.Time, s *server) float64 {
-	if s.since.IsZero() || b.cfg.SlowStart <= 0 {
+// warmUpWeight grows from minWarmUpWeight to 1 during slow start.
+func (c *Chooser) warmUpWeight(now time.Time, s *server) float64 {
+	if s.slowStartAt.IsZero() || c.cfg.SlowStart <= 0 {
 		return 1
 	}
-	return min(1, max(minWarmth, float64(now.Sub(s.since))/float64(b.cfg.SlowStart)))
+	return min(1, max(minWarmUpWeight, float64(now.Sub(s.slowStartAt))/float64(c.cfg.SlowStart)))
 }
 
-// limit is how many of this gateway's attempts the server may hold.
-func (b *Bench) limit(now time.Time, s *server) int {
-	return max(1, int(float64(s.slots()+b.cfg.Queue)*b.warmth(now, s)))
+// attemptLimit returns how many of this gateway's attempts the server may hold.
+func (c *Chooser) attemptLimit(now time.Time, s *server) int {
+	return max(1, int(float64(s.slots()+c.cfg.Queue)*c.warmUpWeight(now, s)))
 }
 
-// reported returns the load of other gateways by the last report, and its
-// weight. The report counts less the older it is, and the less trust reports of
-// the server have earned; it serves a bounded number of choices.
-func (b *Bench) reported(now time.Time, s *server) (others, weight float64) {
-	if s.report.At.IsZero() || s.uses >= b.cfg.ReportUses {
+// reportedLoad returns the load from other gateways according to the last report,
+// and the weight of that report. The weight falls with the age of the report and
+// with the misprediction rates, and is 0 once the report has served a number of
+// choices.
+func (c *Chooser) reportedLoad(now time.Time, s *server) (otherLoad, weight float64) {
+	if s.report.At.IsZero() || s.reportUses >= c.cfg.ReportUses {
 		return 0, 0
 	}
 	age := max(0, now.Sub(s.report.At))
-	return s.others, trust(s.surprise) * trust(b.surprise) * halved(age, b.cfg.ReportHalfLife)
+	return s.otherLoad, reportTrust(s.mispredictionRate) * reportTrust(c.mispredictionRate) * decay(age, c.cfg.ReportHalfLife)
 }
 
-// trust returns the weight of reports with the given share of surprises.
-func trust(surprise float64) float64 {
-	return max(0, 1-surpriseCost*surprise)
+// reportTrust returns the weight of reports at the given misprediction rate.
+func reportTrust(mispredictionRate float64) float64 {
+	return max(0, 1-mispredictionPenalty*mispredictionRate)
 }
 
-// load estimates the requests in the server: the own attempts, which are known,
-// and those of other gateways, for which the mean over all servers fills what
-// the report leaves open.
-func (b *Bench) load(now time.Time, s *server) float64 {
-	others, weight := b.reported(now, s)
-	return float64(s.inFlight) + weight*others + (1-weight)*b.others
+// estimatedLoad estimates the requests in the server: this gateway's own attempts,
+// which are known, and those of other gateways. The lower the weight of the report,
+// the more the mean over all servers replaces the latter.
+func (c *Chooser) estimatedLoad(now time.Time, s *server) float64 {
+	otherLoad, weight := c.reportedLoad(now, s)
+	return float64(s.inFlight) + weight*otherLoad + (1-weight)*c.meanOtherLoad
 }
 
-// halved returns the weight of something of the given age.
-func halved(age, halfLife time.Duration) float64 {
+// decay returns the exponentially decaying weight of a value of the given age.
+func decay(age, halfLife time.Duration) float64 {
 	return math.Exp2(-float64(age) / float64(halfLife))
 }
 
-// score orders servers, the lowest first: expected time relative to the peers,
-// raised by load, errors and a slow start.
-func (b *Bench) score(now time.Time, s *server) float64 {
+// score returns the rank of a server, the lowest being best: the expected response
+// time relative to its peers, increased by load, errors and slow start.
+func (c *Chooser) score(now time.Time, s *server) float64 {
 	slots := float64(s.slots())
-	load := b.load(now, s) / slots
-	score := 1 + hotScore*load
+	load := c.estimatedLoad(now, s) / slots
+	score := 1 + loadWeight*load
 	if load >= 1 {
 		score += load - 1 + 1/slots
 	}
-	if ratio := b.ratio(now, s); ratio >= slowRatio {
+	if ratio := c.latencyRatio(now, s); ratio >= slowLatencyRatio {
 		score *= math.Exp2(math.Floor(math.Log2(ratio)))
 	}
-	score *= 1 + errorPenalty*s.errors*halved(now.Sub(s.learned), healthHalfLife)
-	score /= b.warmth(now, s)
+	score *= 1 + errorPenalty*s.errorRate*decay(now.Sub(s.sampledAt), healthHalfLife)
+	score /= c.warmUpWeight(now, s)
 	return math.Floor(score/scoreStep) * scoreStep
 }
 
-// slow reports whether the server is much slower than its peers, or has failed a
-// moment ago.
-func (b *Bench) slow(now time.Time, s *server) bool {
-	return b.ratio(now, s) >= slowRatio || s.errors*halved(now.Sub(s.learned), healthHalfLife) > recentError
+// degraded reports whether the server is much slower than its peers or has failed
+// recently.
+func (c *Chooser) degraded(now time.Time, s *server) bool {
+	return c.latencyRatio(now, s) >= slowLatencyRatio || s.errorRate*decay(now.Sub(s.sampledAt), healthHalfLife) > recentErrorRate
 }
 
-// ratio compares the server's latency with the mean of its peers. What was
-// learned long ago counts less, so that a server which recovered is tried again.
-func (b *Bench) ratio(now time.Time, s *server) float64 {
-	peers := b.measured - 1
+// latencyRatio returns the server's latency as a multiple of the mean of its peers.
+// Old measurements count less, so that a server that has recovered is tried again.
+func (c *Chooser) latencyRatio(now time.Time, s *server) float64 {
+	peers := c.latencyCount - 1
 	if s.samples < minSamples || s.latency <= 0 || peers < 1 {
 		return 1
 	}
-	mean := (b.latencies - s.latency) / float64(peers)
+	mean := (c.latencySum - s.latency) / float64(peers)
 	if mean <= 0 {
 		return 1
 	}
-	return 1 + (s.latency/mean-1)*halved(now.Sub(s.learned), healthHalfLife)
+	return 1 + (s.latency/mean-1)*decay(now.Sub(s.sampledAt), healthHalfLife)
 }
 
-// learn takes an attempt's outcome into the averages.
-func (b *Bench) learn(now time.Time, s *server, r mustardsaddle.Result) {
+// updateAverages adds the result of an attempt to the averages.
+func (c *Chooser) updateAverages(now time.Time, s *server, r mustardsaddle.Result) {
 	latency := r.Latency.Seconds()
 	if r.Canceled {
 		// The time until the cancellation is a lower bound of the latency.
 		if s.samples > 0 && latency > s.latency {
-			b.setLatency(s, s.latency+latencyGain*(latency-s.latency))
+			c.setLatency(s, s.latency+latencyAlpha*(latency-s.latency))
 		}
 		return
 	}
-	s.learned = now
+	s.sampledAt = now
 	failed := 0.0
 	if r.Failed {
 		failed = 1
 	}
-	s.errors += errorGain * (failed - s.errors)
+	s.errorRate += errorAlpha * (failed - s.errorRate)
 	s.samples++
 	switch {
 	case r.Failed && latency <= s.latency:
-		// A fast failure says nothing about the speed of the server.
+		// A fast failure carries no information about the speed of the server.
 	case s.latency == 0:
-		b.setLatency(s, latency)
+		c.setLatency(s, latency)
 	default:
-		b.setLatency(s, s.latency+latencyGain*(latency-s.latency))
+		c.setLatency(s, s.latency+latencyAlpha*(latency-s.latency))
 	}
 }
 
-// setLatency replaces a server's latency and keeps the sum over all servers.
-func (b *Bench) setLatency(s *server, latency float64) {
-	b.latencies += latency - s.latency
+// setLatency replaces a server's latency and updates the totals over all servers.
+func (c *Chooser) setLatency(s *server, latency float64) {
+	c.latencySum += latency - s.latency
 	if s.latency == 0 && latency > 0 {
-		b.measured++
+		c.latencyCount++
 	}
 	if s.latency > 0 && latency == 0 {
-		b.measured--
+		c.latencyCount--
 	}
 	s.latency = latency
 }
 
-// judge compares the last report with what followed: a shed server that looked
-// idle, or a slow one that looked idle, or a quick one that looked full.
-func (b *Bench) judge(now time.Time, s *server, r mustardsaddle.Result) {
+// recordPrediction compares the last report with the result that followed. A
+// misprediction is a server that looked idle and shed or was slow, or one that
+// looked full and was fast.
+func (c *Chooser) recordPrediction(now time.Time, s *server, r mustardsaddle.Result) {
 	if s.report.At.IsZero() || r.Canceled {
 		return
 	}
-	idle := s.others+float64(s.inFlight) < float64(s.slots())
-	full := s.others >= float64(s.slots())
-	ratio := b.ratio(now, s)
-	surprise := 0.0
-	if (idle && (r.Shed || ratio >= slowRatio)) || (full && !r.Shed && !r.Failed && ratio < 1) {
-		surprise = 1
+	idle := s.otherLoad+float64(s.inFlight) < float64(s.slots())
+	full := s.otherLoad >= float64(s.slots())
+	ratio := c.latencyRatio(now, s)
+	mispredicted := 0.0
+	if (idle && (r.Shed || ratio >= slowLatencyRatio)) || (full && !r.Shed && !r.Failed && ratio < 1) {
+		mispredicted = 1
 	}
-	s.surprise += surpriseGain * (surprise - s.surprise)
-	b.surprise += commonSurpriseGain * (surprise - b.surprise)
+	s.mispredictionRate += mispredictionAlpha * (mispredicted - s.mispredictionRate)
+	c.mispredictionRate += globalMispredictionAlpha * (mispredicted - c.mispredictionRate)
 }
