--- a/internal/choice/report/budget.go
+++ b/internal/choice/report/budget.go
@@ -8,48 +8,49 @@
 	"golang.org/x/time/rate"
 )
 
-// ProbeBytes is what one probe is charged: request and answer with headers.
+// ProbeBytes is the size that one probe is charged for: request and response with
+// headers.
 const ProbeBytes = 400
 
-// minBurst is the smallest depth of a bucket, in messages.
-const minBurst = 1
+// minMessageDepth is the minimum depth of the message bucket.
+const minMessageDepth = 1
 
-// BudgetConfig configures a Budget. A rate of zero or less allows nothing.
+// BudgetConfig configures a Budget. A rate of zero or less permits nothing.
 type BudgetConfig struct {
-	// MessagesPerSecond bounds the probes of this gateway.
+	// MessagesPerSecond is the maximum rate of this gateway's probes.
 	MessagesPerSecond float64
-	// BytesPerSecond bounds the bytes of the probes of this gateway.
+	// BytesPerSecond is the maximum byte rate of this gateway's probes.
 	BytesPerSecond float64
-	// Burst is the time for which unspent tokens are kept. A bucket holds at
+	// Burst is the time over which unused tokens accumulate. A bucket holds at
 	// least one message.
 	Burst time.Duration
 }
 
-// Cost is a number of messages and their bytes.
+// Cost is a number of messages and their total size in bytes.
 type Cost struct {
 	Messages int64
 	Bytes    int64
 }
 
-// Stats shows what was spent against what was agreed.
+// Stats compares the usage of a Budget with its configured rates.
 type Stats struct {
-	// Spent is the cost since the start.
+	// Spent is the total cost of the permitted probes.
 	Spent Cost
-	// Refused is the number of probes that the budget did not allow.
+	// Refused is the number of probes that the budget did not permit.
 	Refused int64
-	// AgreedMessagesPerSecond is the agreed rate of messages.
+	// AgreedMessagesPerSecond is the configured message rate.
 	AgreedMessagesPerSecond float64
-	// AgreedBytesPerSecond is the agreed rate of bytes.
+	// AgreedBytesPerSecond is the configured byte rate.
 	AgreedBytesPerSecond float64
 }
 
-// Budget bounds the cost of probing of this gateway by token buckets in messages
-// and in bytes per second. It depends on time alone, never on the number of
-// calls that arrive. In any window of length w it allows at most rate × (w +
+// Budget limits the cost of this gateway's probes by two token buckets, one for
+// messages and one for bytes. It depends on time alone, never on the number of
+// calls that arrive. In any window of length w it permits at most rate × (w +
 // Burst) messages, or one. It is safe for concurrent use.
 //
-// The rate at which one server is probed is bounded by package bench, which
-// knows the live gateways that share it.
+// The rate at which one server is probed is limited by package bench, which knows
+// the live gateways that share the server.
 type Budget struct {
 	cfg BudgetConfig
 
@@ -68,52 +69,52 @@
 	}
 	return &Budget{
 		cfg:      cfg,
-		messages: newLimiter(cfg.MessagesPerSecond, cfg.Burst, minBurst),
+		messages: newLimiter(cfg.MessagesPerSecond, cfg.Burst, minMessageDepth),
 		bytes:    newLimiter(cfg.BytesPerSecond, cfg.Burst, ProbeBytes),
 	}
 }
 
-// newLimiter returns a bucket that keeps the tokens of the time burst.
-func newLimiter(perSecond float64, burst time.Duration, least int) *rate.Limiter {
-	limit, depth := bucket(perSecond, burst, least)
+// newLimiter returns a token bucket that accumulates tokens over the time burst.
+func newLimiter(perSecond float64, burst time.Duration, minDepth int) *rate.Limiter {
+	limit, depth := bucketParameters(perSecond, burst, minDepth)
 	return rate.NewLimiter(limit, depth)
 }
 
-// setLimiter changes the rate of a bucket.
-func setLimiter(at time.Time, l *rate.Limiter, perSecond float64, burst time.Duration, least int) {
-	limit, depth := bucket(perSecond, burst, least)
+// setLimiter changes the rate and depth of a token bucket.
+func setLimiter(at time.Time, l *rate.Limiter, perSecond float64, burst time.Duration, minDepth int) {
+	limit, depth := bucketParameters(perSecond, burst, minDepth)
 	l.SetLimitAt(at, limit)
 	l.SetBurstAt(at, depth)
 }
 
-// bucket returns the rate and the depth of a bucket.
-func bucket(perSecond float64, burst time.Duration, least int) (rate.Limit, int) {
+// bucketParameters returns the rate and depth of a token bucket.
+func bucketParameters(perSecond float64, burst time.Duration, minDepth int) (rate.Limit, int) {
 	if math.IsNaN(perSecond) || perSecond <= 0 {
 		return 0, 0
 	}
-	return rate.Limit(perSecond), max(least, int(perSecond*burst.Seconds()))
+	return rate.Limit(perSecond), max(minDepth, int(perSecond*burst.Seconds()))
 }
 
-// SetRates changes what was agreed. What was spent stays spent.
+// SetRates changes the configured rates. Tokens already consumed stay consumed.
 func (b *Budget) SetRates(now time.Time, cfg BudgetConfig) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	at := b.advance(now)
+	at := b.monotonic(now)
 	cfg.Burst = b.cfg.Burst
 	b.cfg = cfg
-	setLimiter(at, b.messages, cfg.MessagesPerSecond, cfg.Burst, minBurst)
+	setLimiter(at, b.messages, cfg.MessagesPerSecond, cfg.Burst, minMessageDepth)
 	setLimiter(at, b.bytes, cfg.BytesPerSecond, cfg.Burst, ProbeBytes)
 }
 
-// Take pays for messages of the given total size, or returns false and pays
-// nothing.
+// Take consumes tokens for messages of the given total size. If either bucket has
+// too few, it consumes nothing and returns false.
 func (b *Budget) Take(now time.Time, messages, bytes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.take(b.advance(now), messages, bytes)
+	return b.take(b.monotonic(now), messages, bytes)
 }
 
-// Stats returns what was spent and agreed so far.
+// Stats returns the usage so far and the configured rates.
 func (b *Budget) Stats() Stats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -125,9 +126,9 @@
 	}
 }
 
-// advance returns now, but never a time before one that was seen: a clock that
+// monotonic returns now, but never a time before the latest one seen: a clock that
 // is set back must not refill the buckets twice.
-func (b *Budget) advance(now time.Time) time.Time {
+func (b *Budget) monotonic(now time.Time) time.Time {
 	if now.After(b.latest) {
 		b.latest = now
 	}
@@ -140,7 +141,8 @@
 		b.refused++
 		return false
 	}
-	// The two buckets are paid together or not at all.
+	// Both checks passed above, so tokens are taken from both buckets or from
+	// neither.
 	if !b.messages.AllowN(now, messages) || !b.bytes.AllowN(now, bytes) {
 		b.refused++
 		return false
--- a/internal/choice/report/counts.go
+++ b/internal/choice/report/counts.go
@@ -10,24 +10,27 @@
 )
 
 const (
-	// minCounts and maxCounts bound the fields of a report in counts that are read.
-	minCounts = 3
-	maxCounts = 4
-	// usualSlowness is the slowness in percent of a VM that works as usual.
-	usualSlowness = 100
+	// minFields and maxFields bound the number of fields of a count report that are
+	// read.
+	minFields = 3
+	maxFields = 4
+	// nominalPercent is the slowness, in percent, of a VM that runs at its usual
+	// speed.
+	nominalPercent = 100
 )
 
-// ParseCounts reads a report in counts that arrived at now: the requests running,
-// those waiting and the slots, separated by commas, and then, if stated, how long
-// work takes on the server's VM in percent of the usual. Further fields are passed
-// over. A report that breaks a bound is refused whole.
+// ParseCounts parses a load report in the form of counts, received at now. Its
+// comma-separated fields are the running requests, the queued requests, the slots
+// and, optionally, the processing time on the server's VM in percent of the usual.
+// Further fields are ignored. A report with a value out of range is rejected as a
+// whole.
 func ParseCounts(now time.Time, value string) (mustardsaddle.Report, error) {
 	fields := strings.Split(value, ",")
-	if len(fields) < minCounts {
-		return mustardsaddle.Report{}, code.Errorf(code.ReportBad, "parse load report: got %d counts, want at least %d", len(fields), minCounts)
+	if len(fields) < minFields {
+		return mustardsaddle.Report{}, code.Errorf(code.ReportBad, "parse load report: got %d counts, want at least %d", len(fields), minFields)
 	}
-	var n [maxCounts]int
-	for i, field := range fields[:min(len(fields), maxCounts)] {
+	var n [maxFields]int
+	for i, field := range fields[:min(len(fields), maxFields)] {
 		count, err := strconv.Atoi(strings.TrimSpace(field))
 		if err != nil || count < 0 || count > maxRequests {
 			return mustardsaddle.Report{}, code.Errorf(code.ReportBad, "parse load report: got count %q, want 0 to %d", field, maxRequests)
@@ -35,6 +38,6 @@
 		n[i] = count
 	}
 	return mustardsaddle.Report{
-		InFlight: n[0] + n[1], Slots: n[2], Slowness: float64(n[3]) / usualSlowness, At: now,
+		InFlight: n[0] + n[1], Slots: n[2], Slowness: float64(n[3]) / nominalPercent, At: now,
 	}, nil
 }
--- a/internal/choice/report/report.go
+++ b/internal/choice/report/report.go
@@ -1,10 +1,10 @@
-// Package report reads the load reports of endpoint servers and keeps the cost
-// of asking for them inside an agreed budget.
+// Package report parses the load reports of endpoint servers and limits the cost of
+// probing them to a budget.
 //
-// A report travels in the Endpoint-Load-Metrics response header, in the JSON
-// text form of the Open Request Cost Aggregation (ORCA) format, on ordinary
-// answers and on the answers of a small probe address. Ordinary answers cost
-// nothing extra; probes are paid from a Budget.
+// A report is carried in the Endpoint-Load-Metrics response header, in the JSON
+// text form of the Open Request Cost Aggregation (ORCA) format, by ordinary
+// responses and by the responses of a small probe address. Ordinary responses cost
+// nothing extra; probes are charged to a Budget.
 //
 // # Usage
 //
@@ -27,17 +27,17 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/code"
 )
 
-// Header is the response header that carries a load report, in the JSON text
-// form of the Open Request Cost Aggregation (ORCA) format.
+// Header is the response header that carries a load report, in the JSON text form
+// of the Open Request Cost Aggregation (ORCA) format.
 const Header = "Endpoint-Load-Metrics"
 
-// maxHeaderBytes bounds the report that is parsed.
+// maxHeaderBytes is the maximum size of a report that is parsed.
 const maxHeaderBytes = 4096
 
-// maxRequests bounds the requests and the slots that a report may state.
+// maxRequests is the maximum number of requests or slots in a report.
 const maxRequests = 1 << 20
 
-// textPrefix marks the JSON form of an ORCA header.
+// textPrefix precedes the JSON form of an ORCA header.
 const textPrefix = "JSON "
 
 // Named metrics of a report.
@@ -51,38 +51,37 @@
 	Named map[string]float64 `json:"named_metrics"`
 }
 
-// Format renders a load report as a header value.
+// Format encodes a load report as a header value.
 func Format(inFlight, slots int, draining bool) string {
-	drain := 0
+	drainingValue := 0
 	if draining {
-		drain = 1
+		drainingValue = 1
 	}
-	return fmt.Sprintf(`JSON {"named_metrics":{"InFlight":%d,"Slots":%d,"Draining":%d}}`, inFlight, slots, drain)
+	return fmt.Sprintf(`JSON {"named_metrics":{"InFlight":%d,"Slots":%d,"Draining":%d}}`, inFlight, slots, drainingValue)
 }
 
-// Parse reads a header value that arrived at now. A report that breaks any
-// bound is refused whole, so that the last good report of the server stays in
-// use.
+// Parse parses a header value received at now. A report with a value out of range
+// is rejected as a whole, so that the last valid report of the server stays in use.
 func Parse(now time.Time, value string) (mustardsaddle.Report, error) {
 	if len(value) > maxHeaderBytes {
 		return mustardsaddle.Report{}, code.Errorf(code.ReportBad, "parse load report: got %d bytes, want at most %d", len(value), maxHeaderBytes)
 	}
-	var m metrics
-	if err := json.Unmarshal([]byte(strings.TrimPrefix(value, textPrefix)), &m); err != nil {
+	var parsed metrics
+	if err := json.Unmarshal([]byte(strings.TrimPrefix(value, textPrefix)), &parsed); err != nil {
 		return mustardsaddle.Report{}, code.Wrapf(code.ReportBad, err, "parse load report")
 	}
-	if _, ok := m.Named[metricInFlight]; !ok {
+	if _, ok := parsed.Named[metricInFlight]; !ok {
 		return mustardsaddle.Report{}, code.Errorf(code.ReportBad, "parse load report: got no %s, want one", metricInFlight)
 	}
 	for _, name := range []string{metricInFlight, metricSlots, metricDraining} {
-		if n := m.Named[name]; math.IsNaN(n) || n < 0 || n > maxRequests {
+		if n := parsed.Named[name]; math.IsNaN(n) || n < 0 || n > maxRequests {
 			return mustardsaddle.Report{}, code.Errorf(code.ReportBad, "parse load report: got %s=%g, want 0 to %d", name, n, maxRequests)
 		}
 	}
 	return mustardsaddle.Report{
-		InFlight: int(math.Ceil(m.Named[metricInFlight])),
-		Slots:    int(m.Named[metricSlots]),
-		Draining: m.Named[metricDraining] > 0,
+		InFlight: int(math.Ceil(parsed.Named[metricInFlight])),
+		Slots:    int(parsed.Named[metricSlots]),
+		Draining: parsed.Named[metricDraining] > 0,
 		At:       now,
 	}, nil
 }
--- a/internal/choice/report/report_test.go
+++ b/internal/choice/report/report_test.go
@@ -18,8 +18,8 @@
 var headers = []struct {
 	name, value, err string
 }{
-	{"whole", `JSON {"named_metrics":{"InFlight":3,"Slots":2,"Draining":1}}`, ""},
-	{"without prefix", `{"named_metrics":{"InFlight":3}}`, ""},
+	{"all metrics", `JSON {"named_metrics":{"InFlight":3,"Slots":2,"Draining":1}}`, ""},
+	{"no prefix", `{"named_metrics":{"InFlight":3}}`, ""},
 	{"unknown metric", `{"named_metrics":{"InFlight":3,"Other":-1}}`, ""},
 	{"empty", ``, "unexpected end of JSON input"},
 	{"binary form", `BIN aGVsbG8=`, "invalid character 'B'"},
@@ -27,18 +27,18 @@
 	{"negative", `{"named_metrics":{"InFlight":-1}}`, "got InFlight=-1, want 0 to 1048576"},
 	{"negative slots", `{"named_metrics":{"InFlight":1,"Slots":-2}}`, "got Slots=-2"},
 	{"huge", `{"named_metrics":{"InFlight":1e300}}`, "got InFlight=1e+300"},
-	{"beyond float", `{"named_metrics":{"InFlight":1e999}}`, "cannot unmarshal number 1e999"},
-	{"text", `{"named_metrics":{"InFlight":"3"}}`, "cannot unmarshal string"},
-	{"missing", `{"named_metrics":{"Slots":3}}`, "got no InFlight"},
+	{"out of float64 range", `{"named_metrics":{"InFlight":1e999}}`, "cannot unmarshal number 1e999"},
+	{"string", `{"named_metrics":{"InFlight":"3"}}`, "cannot unmarshal string"},
+	{"missing InFlight", `{"named_metrics":{"Slots":3}}`, "got no InFlight"},
 	{"null", `null`, "got no InFlight"},
-	{"two values", `{"named_metrics":{"InFlight":3}} {}`, "after top-level value"},
-	{"over-long", strings.Repeat(" ", 5000), "got 5000 bytes, want at most 4096"},
+	{"trailing value", `{"named_metrics":{"InFlight":3}} {}`, "after top-level value"},
+	{"too long", strings.Repeat(" ", 5000), "got 5000 bytes, want at most 4096"},
 }
 
 func TestParse(t *testing.T) {
 	convey.Convey("Given header values", t, func() {
 		for _, h := range headers {
-			convey.Convey("the value that is "+h.name, func() {
+			convey.Convey("header value: "+h.name, func() {
 				_, err := report.Parse(start, h.value)
 				if h.err == "" {
 					convey.So(err, convey.ShouldBeNil)
@@ -71,22 +71,22 @@
 	})
 }
 
-// spending is one allowed payment.
-type spending struct {
+// payment is the cost of one permitted probe.
+type payment struct {
 	at              time.Time
 	messages, bytes int
 }
 
-// checkWindows fails if any window between two payments holds more than the
-// rate allows with a bucket of the given depth.
-func checkWindows(t *rapid.T, what string, all []spending, size func(spending) int, perSecond, depth float64) {
+// checkWindows fails if the cost in any window between two payments exceeds what
+// the rate permits with a bucket of the given depth.
+func checkWindows(t *rapid.T, name string, all []payment, size func(payment) int, perSecond, depth float64) {
 	for i := range all {
 		sum := 0
 		for j := i; j < len(all); j++ {
 			sum += size(all[j])
 			window := all[j].at.Sub(all[i].at).Seconds()
 			if limit := perSecond*window + depth; float64(sum) > limit+1e-3 {
-				t.Fatalf("%s: got %d in %gs, want at most %g", what, sum, window, limit)
+				t.Fatalf("%s: got %d in %gs, want at most %g", name, sum, window, limit)
 			}
 		}
 	}
@@ -101,10 +101,10 @@
 			Burst: 100 * time.Millisecond,
 		})
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		var all []spending
+		var all []payment
 		now, latest := start, time.Time{}
 		for range rapid.IntRange(1, 300).Draw(t, "arrivals") {
-			// Arrivals in bursts, after pauses, and with the clock set back.
+			// Arrivals come in bursts, after pauses, and with the clock set back.
 			step := time.Duration(rng.ExpFloat64() * float64(10*time.Millisecond))
 			if rng.IntN(20) == 0 {
 				step = -time.Duration(rng.Int64N(int64(500 * time.Millisecond)))
@@ -113,13 +113,13 @@
 			if now.After(latest) {
 				latest = now
 			}
-			s := spending{at: latest, messages: 1 + rng.IntN(2), bytes: rng.IntN(900)}
+			s := payment{at: latest, messages: 1 + rng.IntN(2), bytes: rng.IntN(900)}
 			if b.Take(now, s.messages, s.bytes) {
 				all = append(all, s)
 			}
 		}
-		messages := func(s spending) int { return s.messages }
-		bytes := func(s spending) int { return s.bytes }
+		messages := func(s payment) int { return s.messages }
+		bytes := func(s payment) int { return s.bytes }
 		checkWindows(t, "messages", all, messages, perSecond, max(1, perSecond/10))
 		checkWindows(t, "bytes", all, bytes, bytesPerSecond, max(report.ProbeBytes, bytesPerSecond/10))
 		var sum report.Cost
@@ -134,11 +134,11 @@
 }
 
 func TestBudgetRefusal(t *testing.T) {
-	convey.Convey("Given a budget whose bytes are spent", t, func() {
+	convey.Convey("Given a budget whose byte bucket is empty", t, func() {
 		b := report.NewBudget(report.BudgetConfig{MessagesPerSecond: 10, BytesPerSecond: 400})
 		convey.So(b.Take(start, 1, 400), convey.ShouldBeTrue)
 		convey.So(b.Take(start, 1, 400), convey.ShouldBeFalse)
-		convey.Convey("a refusal costs nothing, and time refills it", func() {
+		convey.Convey("a refused probe consumes nothing, and the bucket refills over time", func() {
 			convey.So(b.Take(start.Add(time.Second), 1, 400), convey.ShouldBeTrue)
 			convey.So(b.Stats(), convey.ShouldResemble, report.Stats{
 				Spent: report.Cost{Messages: 2, Bytes: 800}, Refused: 1,
@@ -146,7 +146,7 @@
 			})
 		})
 	})
-	convey.Convey("Given a budget of nothing, nothing is allowed", t, func() {
+	convey.Convey("Given a budget with zero rates, no probe is permitted", t, func() {
 		convey.So(report.NewBudget(report.BudgetConfig{}).Take(start, 1, 1), convey.ShouldBeFalse)
 	})
 }
