--- a/internal/choice/share/share.go
+++ b/internal/choice/share/share.go
@@ -1,6 +1,6 @@
-// Package share divides the endpoint servers of a service among the live gateways,
-// by rendezvous hashing: gateways that know the same servers and gateways come to
-// the same division without a message.
+// Package share assigns the endpoint servers of a service to the live gateways by
+// rendezvous hashing: gateways that know the same servers and gateways compute the
+// same assignment without exchanging messages.
 //
 // # Usage
 //
@@ -14,9 +14,10 @@
 	"mustardsaddle.example/mustardsaddle"
 )
 
-// rendezvous scores a pair of hashed names. Every gateway computes the same
-// score. Mixing two hashes costs a tenth of hashing the pair, which counts with
-// hundreds of gateways and services.
+// rendezvous returns the rendezvous hash of a server and a gateway from the hashes
+// of their names. Every gateway computes the same score. Mixing two hashes takes a
+// tenth of the time of hashing the pair, which matters with hundreds of gateways
+// and services.
 func rendezvous(server, gateway uint64) uint64 {
 	x := server ^ (gateway * 0x9e3779b97f4a7c15)
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
@@ -24,7 +25,7 @@
 	return x ^ (x >> 31)
 }
 
-// hashes returns the hashed names of the gateways.
+// hashes returns the hashes of the gateways' names.
 func hashes(gateways []mustardsaddle.VM) []uint64 {
 	out := make([]uint64, len(gateways))
 	for i, g := range gateways {
@@ -33,12 +34,12 @@
 	return out
 }
 
-// Slots divides the slots of the servers among the gateways by rendezvous
-// hashing with a bound: each slot goes to the gateway with the highest score
-// that has not got its share yet, with those of the server's own zone first. It
-// returns the number of slots of each server that fall to the gateway self.
-// Servers and gateways are ordered by name, so that all gateways come to the
-// same, disjoint division.
+// Slots assigns the slots of the servers to the gateways by rendezvous hashing with
+// bounded loads: each slot goes to the gateway with the highest score among those
+// below their quota, and gateways in the server's zone come first. It returns how
+// many slots of each server are assigned to the gateway self. Servers and gateways
+// must be ordered by name, so that all gateways compute the same, disjoint
+// assignment.
 func Slots(servers []mustardsaddle.Server, gateways []mustardsaddle.VM, self string) map[string]int {
 	owned := make(map[string]int)
 	if len(gateways) == 0 {
@@ -48,14 +49,14 @@
 	for _, s := range servers {
 		total += max(1, s.Slots)
 	}
-	share := (total + len(gateways) - 1) / len(gateways)
-	got := make([]int, len(gateways))
-	names := hashes(gateways)
+	quota := (total + len(gateways) - 1) / len(gateways)
+	assigned := make([]int, len(gateways))
+	gatewayHashes := hashes(gateways)
 	for _, s := range servers {
-		own := xxhash.Sum64String(s.Name)
+		serverHash := xxhash.Sum64String(s.Name)
 		for range max(1, s.Slots) {
-			i := preferred(s, own, gateways, names, func(i int) bool { return got[i] < share })
-			got[i]++
+			i := highestScore(s, serverHash, gateways, gatewayHashes, func(i int) bool { return assigned[i] < quota })
+			assigned[i]++
 			if gateways[i].Name == self {
 				owned[s.Name]++
 			}
@@ -64,46 +65,45 @@
 	return owned
 }
 
-// preferred returns the index of the gateway with the highest score of those
-// that may have more.
-func preferred(s mustardsaddle.Server, own uint64, gateways []mustardsaddle.VM, names []uint64, open func(int) bool) int {
-	best, highest := -1, uint64(0)
+// highestScore returns the index of the available gateway with the highest score.
+func highestScore(s mustardsaddle.Server, serverHash uint64, gateways []mustardsaddle.VM, gatewayHashes []uint64, available func(int) bool) int {
+	best, bestScore := -1, uint64(0)
 	for i, g := range gateways {
-		if !open(i) {
+		if !available(i) {
 			continue
 		}
-		score := rendezvous(own, names[i]) >> 1
+		score := rendezvous(serverHash, gatewayHashes[i]) >> 1
 		if g.Zone == s.Zone {
 			score |= 1 << 63
 		}
-		if best < 0 || score > highest {
-			best, highest = i, score
+		if best < 0 || score > bestScore {
+			best, bestScore = i, score
 		}
 	}
 	return best
 }
 
 // Subset returns the servers that the gateway self has to know, about limit of
-// them. Each server is known by an equal number of gateways, those with the
-// highest scores, so that none is left out.
+// them. Each server is assigned to the same number of gateways, those with the
+// highest scores, so that none is left without a gateway.
 func Subset(servers []mustardsaddle.Server, gateways []mustardsaddle.VM, self string, limit int) []mustardsaddle.Server {
 	if limit <= 0 || len(servers) <= limit || len(gateways) <= 1 {
 		return servers
 	}
-	known := (limit*len(gateways) + len(servers) - 1) / len(servers)
-	var mine []mustardsaddle.Server
-	names, selfName := hashes(gateways), xxhash.Sum64String(self)
+	gatewaysPerServer := (limit*len(gateways) + len(servers) - 1) / len(servers)
+	var subset []mustardsaddle.Server
+	gatewayHashes, selfHash := hashes(gateways), xxhash.Sum64String(self)
 	for _, s := range servers {
-		name := xxhash.Sum64String(s.Name)
-		own, before := rendezvous(name, selfName), 0
-		for _, g := range names {
-			if rendezvous(name, g) > own {
-				before++
+		serverHash := xxhash.Sum64String(s.Name)
+		selfScore, higher := rendezvous(serverHash, selfHash), 0
+		for _, g := range gatewayHashes {
+			if rendezvous(serverHash, g) > selfScore {
+				higher++
 			}
 		}
-		if before < known {
-			mine = append(mine, s)
+		if higher < gatewaysPerServer {
+			subset = append(subset, s)
 		}
 	}
-	return mine
+	return subset
 }
--- a/internal/choice/share/share_test.go
+++ b/internal/choice/share/share_test.go
@@ -39,7 +39,7 @@
 		want := min(len(fleet), (limit*len(fleet)+len(all)-1)/len(all))
 		for _, s := range all {
 			if known[s.Name] != want {
-				t.Fatalf("%s is known by %d of %d gateways, want %d", s.Name, known[s.Name], len(fleet), want)
+				t.Fatalf("%s: got %d of %d gateways that know it, want %d", s.Name, known[s.Name], len(fleet), want)
 			}
 		}
 	})
@@ -51,17 +51,17 @@
 		all, fleet := servers(rapid.IntRange(1, 60).Draw(t, "Servers"), slots), gateways(rapid.IntRange(1, 20).Draw(t, "Gateways"))
 		total := 0
 		for _, g := range fleet {
-			mine := 0
+			assigned := 0
 			for _, n := range share.Slots(all, fleet, g.Name) {
-				mine += n
+				assigned += n
 			}
-			if most := (len(all)*slots + len(fleet) - 1) / len(fleet); mine > most {
-				t.Fatalf("%s owns %d slots, want at most %d", g.Name, mine, most)
+			if quota := (len(all)*slots + len(fleet) - 1) / len(fleet); assigned > quota {
+				t.Fatalf("%s: got %d assigned slots, want at most %d", g.Name, assigned, quota)
 			}
-			total += mine
+			total += assigned
 		}
 		if total != len(all)*slots {
-			t.Fatalf("got %d slots owned, want %d", total, len(all)*slots)
+			t.Fatalf("got %d assigned slots in total, want %d", total, len(all)*slots)
 		}
 	})
 }
