--- a/choice.go
+++ b/choice.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// Chooser picks the endpoint server for each attempt of one service. A Chooser
-// is a deterministic state machine: equal states, times, random sources and
-// calls give equal choices. It is not safe for concurrent use; its owner holds
-// a lock.
+// Chooser picks the endpoint server for each attempt of one service. A Chooser is a
+// deterministic state machine: equal states, times, random sources and calls give
+// equal choices. It is not safe for concurrent use; the caller must serialize
+// access to it.
 type Chooser interface {
-	// SetServers replaces the set of known servers. State of servers that stay
+	// SetServers replaces the set of known servers. The state of servers that stay
 	// is kept.
 	SetServers(now time.Time, servers []Server)
-	// Choose picks a server for an attempt, and counts the attempt as in
-	// flight. It returns false when no server may take the attempt now.
+	// Choose picks a server for an attempt and counts the attempt as in flight. It
+	// returns false if no server may take the attempt now.
 	Choose(now time.Time, rng *rand.Rand, need Need) (Choice, bool)
-	// Finish tells how a chosen attempt ended.
+	// Finish records the result of a chosen attempt.
 	Finish(now time.Time, result Result)
-	// Observe takes a load report of a server.
+	// Observe records a load report of a server.
 	Observe(now time.Time, server string, report Report)
-	// Probe picks the server whose load is most worth asking for, if any.
+	// Probe picks the server to probe next. It returns false if none is due.
 	Probe(now time.Time, rng *rand.Rand) (Server, bool)
 }
 
-// Need describes the attempt that wants a server.
+// Need describes the attempt for which a server is chosen.
 type Need struct {
-	// Exclude names servers that this call has tried already.
+	// Exclude holds the names of the servers that the call has tried already.
 	Exclude []string
 	// Zone is the availability zone of the gateway.
 	Zone string
-	// Blind is true if no server could be asked, so that a guess must do.
+	// Blind is true if no server could be queried, so that the choice may use
+	// servers without a recent load report.
 	Blind bool
-	// Bytes is the usual size of an answer of the service.
+	// Bytes is the typical response size of the service.
 	Bytes int
 }
 
-// WithBlind returns a copy of n with Blind set.
+// WithBlind returns a copy of n with Blind set to blind.
 func (n Need) WithBlind(blind bool) Need {
 	n.Blind = blind
 	return n
@@ -47,76 +48,79 @@
 	Server Server
 	// Reason names the branch of the policy that decided, for example "Spill".
 	Reason string
-	// Report is the load report that decided, with this gateway's own attempts
-	// counted in; its At is zero if none did.
+	// Report is the load report on which the choice was based, with InFlight
+	// adjusted by this gateway's own attempts. Its At is zero if there was none.
 	Report Report
 }
 
-// Result tells how one attempt ended.
+// Result describes how one attempt ended.
 type Result struct {
 	// Server is the name of the server.
 	Server string
-	// Outcome is what is known about execution.
+	// Outcome states whether the request was executed, as far as is known.
 	Outcome Outcome
-	// Shed is true when the server declared that it refused for load.
+	// Shed is true if the server declared that it rejected the request because of
+	// load.
 	Shed bool
-	// Gone is true when another server has the address.
+	// Gone is true if another server answered at the address.
 	Gone bool
 	// Failed is true for a server error, a broken connection or a timeout.
 	Failed bool
-	// Canceled is true when the gateway or the caller gave the attempt up, which
-	// says nothing against the server.
+	// Canceled is true if the gateway or the caller canceled the attempt, which
+	// does not count as a failure of the server.
 	Canceled bool
-	// Latency is the time from sending to the response header.
+	// Latency is the time from sending the request to receiving the response
+	// header.
 	Latency time.Duration
 }
 
 // FleetSetter is a Chooser that divides the servers among the live gateways.
 type FleetSetter interface {
 	Chooser
-	// SetFleet tells the name of this gateway and all live gateways, itself
-	// included. Gateways with equal lists agree on the division.
+	// SetFleet sets the name of this gateway and the live gateways, including
+	// itself. Gateways with equal lists compute the same division.
 	SetFleet(now time.Time, self string, gateways []VM)
 }
 
-// Surveyor is a Chooser that wants some servers to be asked for their load just
-// before it chooses. The answers reach it through Observe, after Asked.
+// Surveyor is a Chooser that bases its choices on load queries sent to some servers
+// just before. The results of a query reach it through Asked, and a load report
+// then through Observe.
 type Surveyor interface {
 	Chooser
-	// Ask returns up to n servers to ask now. They count as asked until Asked or
-	// Unasked.
+	// Ask returns up to n servers to query now. A query to each of them counts as
+	// pending until Asked or Unasked.
 	Ask(now time.Time, rng *rand.Rand, need Need, n int) []Server
-	// Unasked tells that servers of Ask were not asked after all.
+	// Unasked reports that servers returned by Ask were not queried.
 	Unasked(servers []Server)
-	// Asked tells what became of a question.
+	// Asked records the result of a load query.
 	Asked(now time.Time, server string, reply Reply)
-	// Verdicts returns the servers that were taken out of the choice since the last
-	// call, for the log.
+	// Verdicts returns the servers that were excluded since the last call, for the
+	// log.
 	Verdicts() []Verdict
 }
 
-// Verdict says that a server is passed over for a time.
+// Verdict records that a server is excluded for a time.
 type Verdict struct {
 	// Server is the name of the server.
 	Server string
-	// Reason names why, for example "Failures".
+	// Reason states why, for example "Failures".
 	Reason string
-	// For is how long the server is passed over.
+	// For is how long the server is excluded.
 	For time.Duration
-	// Failures is the moving mean of failed attempts, from 0 to 1.
+	// Failures is the moving average of failed attempts, from 0 to 1.
 	Failures float64
 }
 
 //go:generate go tool -modfile=tools/go.mod stringer -type=Reply -output=reply_string.go
 
-// Reply is what became of a question for a server's load.
+// Reply is the result of a load query.
 type Reply int
 
 const (
-	// NoReply means that no answer came.
+	// NoReply means that the query was not answered.
 	NoReply Reply = iota
-	// OwnReply means that the server answered.
+	// OwnReply means that the queried server answered.
 	OwnReply
-	// OtherReply means that another server has the address.
+	// OtherReply means that another server answered at the address.
 	OtherReply
 )
--- a/commands_test.go
+++ b/commands_test.go
@@ -8,57 +8,60 @@
 	"testing"
 )
 
-// commandPattern finds the test commands that pages give: the flags, and the folder.
+// commandPattern matches the test commands in the documents: their flags and
+// folder.
 var commandPattern = regexp.MustCompile(`go test ([^` + "`" + `\n]*?)(\./[a-z/]+)`)
 
-// flagPattern finds the pattern of -run, -bench or -fuzz, in quotes or without.
+// flagPattern matches the pattern of -run, -bench or -fuzz, with or without quotes.
 var flagPattern = regexp.MustCompile(`-(run|bench|fuzz) (?:'([^']*)'|([^ ]+))`)
 
-// TestCommandsOfPagesRunTests compares the test commands in the pages with the tests
-// there are, so that none of them runs nothing.
+// TestCommandsOfPagesRunTests compares the test commands in the documents with the
+// existing tests. A command whose pattern matches no test passes without running
+// anything.
 func TestCommandsOfPagesRunTests(t *testing.T) {
-	pages, err := filepath.Glob("docs/*.md")
+	documents, err := filepath.Glob("docs/*.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	commands := 0
-	for _, page := range append(pages, "CONTRIBUTING.md", "README.md") {
-		raw, err := os.ReadFile(page)
+	for _, document := range append(documents, "CONTRIBUTING.md", "README.md") {
+		raw, err := os.ReadFile(document)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, command := range commandPattern.FindAllStringSubmatch(string(raw), -1) {
 			if strings.HasSuffix(command[2], "/area/noun") {
-				continue // an example that names no folder
+				continue // an example without a real folder
 			}
 			commands++
-			checkCommand(t, page, command[1], command[2])
+			checkCommand(t, document, command[1], command[2])
 		}
 	}
 	if commands == 0 {
-		t.Errorf("found no test command in %d pages, want some", len(pages))
+		t.Errorf("got no test command in %d documents, want at least one", len(documents))
 	}
 }
 
-func checkCommand(t *testing.T, page, flags, folder string) {
+func checkCommand(t *testing.T, document, flags, folder string) {
 	t.Helper()
-	names := testsOf(t, folder)
+	names := testFunctions(t, folder)
 	for _, flag := range flagPattern.FindAllStringSubmatch(flags, -1) {
 		pattern := strings.ReplaceAll(flag[2]+flag[3], `\|`, "|")
 		if pattern == "xxx" {
-			continue // runs nothing beside -bench or -fuzz
+			continue // runs no tests along with -bench or -fuzz
 		}
 		for part := range strings.SplitSeq(pattern, "|") {
-			matched := matching(t, names, flag[1], part)
+			matched := countMatches(t, names, flag[1], part)
 			if matched == 0 || flag[1] == "fuzz" && matched > 1 {
-				t.Errorf("%s: -%s %s in %s matches %d functions, want one at least, and just one to fuzz", page, flag[1], part, folder, matched)
+				t.Errorf("%s: -%s %s in %s matches %d functions, want at least one, and exactly one for -fuzz", document, flag[1], part, folder, matched)
 			}
 		}
 	}
 }
 
-// matching returns how many functions of the kind that a flag runs match a pattern.
-func matching(t *testing.T, names map[string]bool, flag, pattern string) int {
+// countMatches returns how many functions match a pattern, among those of the kind
+// that the flag selects.
+func countMatches(t *testing.T, names map[string]bool, flag, pattern string) int {
 	t.Helper()
 	prefix := map[string]string{"run": "Test", "bench": "Benchmark", "fuzz": "Fuzz"}[flag]
 	expression, err := regexp.Compile(pattern)
--- a/faults_test.go
+++ b/faults_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// wantFaults are the rows that docs/FAULTS.md must have: the faults of the
-// users' brief, singly and two at once.
+// wantFaults lists the rows that docs/FAULTS.md must have: single faults, and two
+// faults at once.
 var wantFaults = []string{
 	"server killed", "server frozen", "server slow", "server fails fast", "server drains",
 	"server cold", "report misleads", "connection silent", "store down", "store slow",
@@ -20,7 +20,7 @@
 	"VM list stale", "peer link cut", "two at once",
 }
 
-// wantSteps are the columns that docs/FAULTS.md must have.
+// wantSteps lists the columns that docs/FAULTS.md must have.
 var wantSteps = []string{
 	"match", "admit", "choose", "send", "await header", "relay body",
 	"submit", "accept", "spread", "membership", "start", "stop",
@@ -32,10 +32,10 @@
 	issuePattern = regexp.MustCompile(`^[0-9]+$`)
 )
 
-// tableRows returns the cells of each table row below a heading.
-func tableRows(t *testing.T, page, heading string) [][]string {
+// tableRows returns the cells of each table row under a heading.
+func tableRows(t *testing.T, document, heading string) [][]string {
 	t.Helper()
-	_, rest, ok := strings.Cut(page, "\n## "+heading+"\n")
+	_, rest, ok := strings.Cut(document, "\n## "+heading+"\n")
 	if !ok {
 		t.Fatalf("docs/FAULTS.md has no heading %q", heading)
 	}
@@ -54,8 +54,8 @@
 	return rows
 }
 
-// testsOf returns the names of the test functions of a package folder.
-func testsOf(t *testing.T, folder string) map[string]bool {
+// testFunctions returns the names of the functions in the test files of a folder.
+func testFunctions(t *testing.T, folder string) map[string]bool {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "*_test.go"))
 	if err != nil {
@@ -81,9 +81,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	page := string(raw)
+	document := string(raw)
 	used := make(map[string]bool)
-	matrix := tableRows(t, page, "Matrix")
+	matrix := tableRows(t, document, "Matrix")
 	checkHeader(t, matrix[0])
 	for i, row := range matrix[1:] {
 		if i >= len(wantFaults) || row[0] != wantFaults[i] {
@@ -95,7 +95,7 @@
 	if len(matrix)-1 != len(wantFaults) {
 		t.Errorf("got %d faults, want %d", len(matrix)-1, len(wantFaults))
 	}
-	checkLegend(t, page, used)
+	checkLegend(t, document, used)
 }
 
 func checkHeader(t *testing.T, header []string) {
@@ -113,7 +113,7 @@
 	for i, cell := range row[1:] {
 		refs := strings.Fields(cell)
 		if len(refs) == 0 {
-			t.Errorf("fault %q, cell %d is empty", row[0], i+1)
+			t.Errorf("fault %q, cell %d: got an empty cell, want references", row[0], i+1)
 		}
 		for _, ref := range refs {
 			if !refPattern.MatchString(ref) {
@@ -125,27 +125,27 @@
 }
 
 // checkLegend checks the tables that define the references of the matrix.
-func checkLegend(t *testing.T, page string, used map[string]bool) {
+func checkLegend(t *testing.T, document string, used map[string]bool) {
 	t.Helper()
 	defined := make(map[string]bool)
-	for _, row := range legendRows(t, page, "Tests", "T", 3, defined) {
-		m := testPattern.FindStringSubmatch(row[1])
-		if m == nil {
+	for _, row := range legendRows(t, document, "Tests", "T", 3, defined) {
+		match := testPattern.FindStringSubmatch(row[1])
+		if match == nil {
 			t.Errorf("%s: got %q, want a test name in backquotes", row[0], row[1])
 			continue
 		}
-		if !testsOf(t, strings.Trim(row[2], "`"))[m[1]] {
-			t.Errorf("%s: no test %s in %s", row[0], m[1], row[2])
+		if !testFunctions(t, strings.Trim(row[2], "`"))[match[1]] {
+			t.Errorf("%s: no test %s in %s", row[0], match[1], row[2])
 		}
 	}
-	for _, row := range legendRows(t, page, "Cannot occur", "N", 2, defined) {
+	for _, row := range legendRows(t, document, "Cannot occur", "N", 2, defined) {
 		if len(row[1]) < 20 {
-			t.Errorf("%s: no argument why the fault cannot occur there", row[0])
+			t.Errorf("%s: got no reason why the fault cannot occur there, want one", row[0])
 		}
 	}
-	for _, row := range legendRows(t, page, "Not proved", "U", 3, defined) {
+	for _, row := range legendRows(t, document, "Not proved", "U", 3, defined) {
 		if len(row[1]) < 20 || !issuePattern.MatchString(row[2]) {
-			t.Errorf("%s: got %q, want what is missing and the number of an issue", row[0], row[1:])
+			t.Errorf("%s: got %q, want a description of what is missing and an issue number", row[0], row[1:])
 		}
 	}
 	for ref := range used {
@@ -161,11 +161,11 @@
 }
 
 // legendRows returns the rows of a table that defines references of one kind, and
-// notes each as defined.
-func legendRows(t *testing.T, page, heading, kind string, cells int, defined map[string]bool) [][]string {
+// records each of them in defined.
+func legendRows(t *testing.T, document, heading, kind string, cells int, defined map[string]bool) [][]string {
 	t.Helper()
 	var rows [][]string
-	for _, row := range tableRows(t, page, heading)[1:] {
+	for _, row := range tableRows(t, document, heading)[1:] {
 		if len(row) != cells || !strings.HasPrefix(row[0], kind) || !refPattern.MatchString(row[0]) || defined[row[0]] {
 			t.Errorf("%s: got row %q, want a new %s and %d cells", heading, row, kind, cells)
 			continue
--- a/headers.go
+++ b/headers.go
@@ -2,26 +2,31 @@
 
 import "time"
 
-// Headers names the headers by which callers and endpoint servers tell gateways
-// more than HTTP itself does. An empty name means that nobody says it.
+// Headers holds the names of the headers by which callers and endpoint servers pass
+// information to gateways beyond what HTTP defines. An empty name means that the
+// information is not sent.
 type Headers struct {
-	// RequestID names a request, in requests and in their answers.
+	// RequestID is the header that identifies a request, in the request and in its
+	// response.
 	RequestID string
-	// Deadline tells how many milliseconds the sender of a request still waits.
+	// Deadline is the header with the number of milliseconds for which the sender
+	// of a request still waits.
 	Deadline string
-	// Instance tells which server a request is meant for. Any other server answers
-	// 421 and does not run the request.
+	// Instance is the header with the server for which a request is meant. Any
+	// other server answers 421 and does not run the request.
 	Instance string
-	// Server is the name of the server that answers.
+	// Server is the header with the name of the server that responds.
 	Server string
-	// Load is the load report of an answer.
+	// Load is the header with the load report in a response.
 	Load string
-	// NotRun declares in an answer that the request was not run.
+	// NotRun is the header by which a response declares that the request was not
+	// run.
 	NotRun string
-	// Signature stands in each successful answer.
+	// Signature is the header that is present in each successful response.
 	Signature string
-	// ParseLoad reads a load report that arrived at now.
+	// ParseLoad parses a load report received at now.
 	ParseLoad func(now time.Time, text string) (Report, error)
-	// FractionalRetryAfter tells that callers understand a fraction of a second.
+	// FractionalRetryAfter is true if callers accept a fraction of a second in
+	// Retry-After.
 	FractionalRetryAfter bool
 }
--- a/known_red_test.go
+++ b/known_red_test.go
@@ -9,31 +9,32 @@
 	"testing"
 )
 
-// knownRedLine is the form of a line of KNOWN-RED.txt, as CONTRIBUTING.md states it.
-var knownRedLine = regexp.MustCompile(`^Test=([A-Z]\w*) Command="[^"]+" Seed=\S+ Seen="[^"]+" Issue=\d+$`)
+// entryPattern is the form of a line of KNOWN-RED.txt, as stated in
+// CONTRIBUTING.md.
+var entryPattern = regexp.MustCompile(`^Test=([A-Z]\w*) Command="[^"]+" Seed=\S+ Seen="[^"]+" Issue=\d+$`)
 
-// checkKnownRed returns what is wrong with the text of KNOWN-RED.txt.
-func checkKnownRed(text string, exists func(test string) bool) []string {
-	var wrong []string
+// checkEntries returns the problems in the text of KNOWN-RED.txt.
+func checkEntries(text string, exists func(test string) bool) []string {
+	var problems []string
 	seen := make(map[string]bool)
 	for line := range strings.Lines(text) {
 		line = strings.TrimSpace(line)
-		m := knownRedLine.FindStringSubmatch(line)
+		match := entryPattern.FindStringSubmatch(line)
 		switch {
-		case m == nil:
-			wrong = append(wrong, "line has another form than CONTRIBUTING.md states: "+line)
-		case seen[m[1]]:
-			wrong = append(wrong, "test is listed twice: "+m[1])
-		case !exists(m[1]):
-			wrong = append(wrong, "test does not exist: "+m[1])
+		case match == nil:
+			problems = append(problems, "line does not have the form that CONTRIBUTING.md states: "+line)
+		case seen[match[1]]:
+			problems = append(problems, "test is listed twice: "+match[1])
+		case !exists(match[1]):
+			problems = append(problems, "test does not exist: "+match[1])
 		default:
-			seen[m[1]] = true
+			seen[match[1]] = true
 		}
 	}
-	return wrong
+	return problems
 }
 
-// testExists reports whether a test file has a test of that name.
+// testExists reports whether any test file contains a test of that name.
 func testExists(t *testing.T, test string) bool {
 	t.Helper()
 	found := false
@@ -59,28 +60,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, wrong := range checkKnownRed(string(text), func(test string) bool { return testExists(t, test) }) {
-		t.Error("KNOWN-RED.txt: " + wrong)
+	for _, problem := range checkEntries(string(text), func(test string) bool { return testExists(t, test) }) {
+		t.Error("KNOWN-RED.txt: " + problem)
 	}
 }
 
 func TestKnownRedForm(t *testing.T) {
-	const good = `Test=TestStop Command="go test -race -run TestStop ./internal/product/instance" Seed=1 Seen="got 1 call cut, want 0" Issue=4`
+	const valid = `Test=TestStop Command="go test -race -run TestStop ./internal/product/instance" Seed=1 Seen="got 1 call cut, want 0" Issue=4`
 	cases := []struct {
 		name, text string
-		wrong      int
+		problems   int
 	}{
-		{"nothing", "", 0},
-		{"one entry", good + "\n", 0},
-		{"twice", good + "\n" + good + "\n", 1},
-		{"no issue", strings.TrimSuffix(good, " Issue=4"), 1},
-		{"no such test", strings.Replace(good, "Test=TestStop", "Test=TestNone", 1), 1},
-		{"prose", "the stop test fails now and then", 1},
+		{"empty file", "", 0},
+		{"one entry", valid + "\n", 0},
+		{"duplicate entry", valid + "\n" + valid + "\n", 1},
+		{"no issue", strings.TrimSuffix(valid, " Issue=4"), 1},
+		{"unknown test", strings.Replace(valid, "Test=TestStop", "Test=TestNone", 1), 1},
+		{"free text", "the stop test fails now and then", 1},
 	}
 	for _, c := range cases {
-		got := checkKnownRed(c.text, func(test string) bool { return test == "TestStop" })
-		if len(got) != c.wrong {
-			t.Errorf("%s: got %q, want %d mistakes", c.name, got, c.wrong)
+		got := checkEntries(c.text, func(test string) bool { return test == "TestStop" })
+		if len(got) != c.problems {
+			t.Errorf("%s: got %q, want %d problems", c.name, got, c.problems)
 		}
 	}
 }
--- a/seed_test.go
+++ b/seed_test.go
@@ -2,6 +2,7 @@
 
 import "flag"
 
-// Each run draws the same cases, so that the verdict never changes by itself; a
-// -rapid.seed on the command line comes later and wins.
+// A fixed seed makes every run draw the same cases, so that results are
+// reproducible. A -rapid.seed flag on the command line overrides it, since flags
+// are parsed later.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/server.go
+++ b/server.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Server is an endpoint server as the roster knows it. A Server is immutable.
+// Server is an endpoint server as listed in the roster. A Server is immutable.
 type Server struct {
 	// Name identifies the server's VM, for example "booking-07".
 	Name string
-	// Incarnation orders the lives of the server's VM: it grows with each
-	// restart.
+	// Incarnation grows with each restart of the server's VM.
 	Incarnation int64
-	// Address is the host and port that answers requests.
+	// Address is the host and port on which the server accepts requests.
 	Address string
 	// Service is the service that the server belongs to.
 	Service string
 	// Zone is the server's availability zone.
 	Zone string
-	// Slots is how many requests the server runs at a time.
+	// Slots is how many requests the server runs concurrently.
 	Slots int
-	// Connections is how many open connections the server accepts.
+	// Connections is the maximum number of open connections that the server
+	// accepts.
 	Connections int
-	// Leaving is true once any input has shown that the server is leaving.
+	// Leaving is true once any source has shown that the server is leaving.
 	Leaving bool
-	// WarmAt is when the server has warmed up after its start; zero if unknown.
+	// WarmAt is when the server's warm-up after its start ends; zero if unknown.
 	WarmAt time.Time
-	// MayReturn is true for a leaving server of which only load reports say so.
-	// It takes no requests, but its load is still asked for, since a report can
-	// mislead.
+	// MayReturn is true for a server that counts as leaving only because of its
+	// load reports. It receives no requests but is still probed, since a report can
+	// be wrong.
 	MayReturn bool
 }
 
@@ -35,33 +35,33 @@
 	return s
 }
 
-// Report is a server's statement about its own load. A report is stale when it
-// arrives: At is the local time at which it was received.
+// Report is a server's statement of its own load. A report is already outdated when
+// it is received.
 type Report struct {
 	// InFlight is the number of requests in the server, running or queued.
 	InFlight int
-	// Slots is how many requests the server runs at a time; 0 if not stated.
+	// Slots is how many requests the server runs concurrently; 0 if not stated.
 	Slots int
-	// Draining is true while the server takes no new requests.
+	// Draining is true while the server accepts no new requests.
 	Draining bool
-	// Slowness is how long work takes on the server's VM at this moment, as a
-	// multiple of the usual; 0 if not stated.
+	// Slowness is the current processing time on the server's VM as a multiple of
+	// the usual one; 0 if not stated.
 	Slowness float64
-	// At is when the gateway received the report.
+	// At is the gateway's local time at which the report was received.
 	At time.Time
 }
 
-// VM is one gateway VM as the platform or a peer knows it.
+// VM is a gateway VM as listed by the platform or a peer.
 type VM struct {
 	// Name identifies the VM.
 	Name string
-	// Incarnation orders the lives of a VM: it grows with each restart.
+	// Incarnation grows with each restart of the VM.
 	Incarnation int64
 	// Zone is the VM's availability zone.
 	Zone string
 	// Peer is the host and port on which the VM accepts peer links.
 	Peer string
-	// Leaving is true once the VM has said that it stops.
+	// Leaving is true once the VM has announced that it is stopping.
 	Leaving bool
 }
 
@@ -71,19 +71,19 @@
 	return v
 }
 
-// Mark is what the gateways tell each other about a VM, gateway or endpoint
-// server, that leaves. Marks are ordered by Incarnation, then Seq, then Leaving:
-// the higher one wins wherever two meet, so that marks arriving late, twice or
-// out of order do no harm, and an older "live" never undoes a "leaving".
+// Mark is the state of a VM, gateway or endpoint server, that the gateways exchange
+// when it leaves. Marks are ordered by Incarnation, then Seq, then Leaving, and
+// merging two marks keeps the higher one. Marks that arrive late, twice or out of
+// order therefore do no harm, and an older live mark never replaces a leaving mark.
 type Mark struct {
 	// Name is the name of the VM.
 	Name string
-	// Incarnation is the life of the VM that the mark is about.
+	// Incarnation is the incarnation of the VM that the mark refers to.
 	Incarnation int64
-	// Seq grows only when a gateway that marked the VM as leaving has
-	// first-hand proof, newer than the mark, that it serves again.
+	// Seq grows only when a gateway that marked the VM as leaving has direct
+	// evidence, newer than the mark, that the VM serves again.
 	Seq int64
-	// Leaving is true while the VM takes no new requests.
+	// Leaving is true while the VM accepts no new requests.
 	Leaving bool
 }
 
--- a/server_test.go
+++ b/server_test.go
@@ -9,7 +9,7 @@
 	"mustardsaddle.example/mustardsaddle"
 )
 
-func genMark(t *rapid.T, label string) mustardsaddle.Mark {
+func drawMark(t *rapid.T, label string) mustardsaddle.Mark {
 	return mustardsaddle.Mark{
 		Name:        "booking-01",
 		Incarnation: rapid.Int64Range(0, 3).Draw(t, label+"Incarnation"),
@@ -18,7 +18,7 @@
 	}
 }
 
-// merge keeps the newer of two marks.
+// merge returns the newer of two marks.
 func merge(a, b mustardsaddle.Mark) mustardsaddle.Mark {
 	if b.Newer(a) {
 		return b
@@ -28,9 +28,9 @@
 
 func TestMarkMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := genMark(t, "A"), genMark(t, "B"), genMark(t, "C")
+		a, b, c := drawMark(t, "A"), drawMark(t, "B"), drawMark(t, "C")
 		if merge(merge(a, b), c) != merge(merge(c, a), b) {
-			t.Fatalf("marks %v %v %v merge differently by order", a, b, c)
+			t.Fatalf("marks %v %v %v: got different results in different merge orders", a, b, c)
 		}
 	})
 }
@@ -38,11 +38,11 @@
 func TestOlderLiveNeverUndoesLeaving(t *testing.T) {
 	convey.Convey("Given a VM that is marked as leaving", t, func() {
 		leaving := mustardsaddle.Mark{Name: "booking-01", Incarnation: 2, Seq: 1, Leaving: true}
-		convey.Convey("A live mark of the same or an older life does not replace it", func() {
+		convey.Convey("A live mark of the same or an older incarnation does not replace it", func() {
 			convey.So(mustardsaddle.Mark{Incarnation: 2, Seq: 1}.Newer(leaving), convey.ShouldBeFalse)
 			convey.So(mustardsaddle.Mark{Incarnation: 1, Seq: 9}.Newer(leaving), convey.ShouldBeFalse)
 		})
-		convey.Convey("A live mark of a newer life replaces it", func() {
+		convey.Convey("A live mark of a newer incarnation replaces it", func() {
 			convey.So(mustardsaddle.Mark{Incarnation: 3}.Newer(leaving), convey.ShouldBeTrue)
 		})
 	})
