--- a/internal/choice/survey/survey.go
+++ b/internal/choice/survey/survey.go
@@ -59,10 +59,10 @@
 )
 
 const (
-	// defaultFresh is the maximum age of a report that is used for a choice.
-	defaultFresh = 40 * time.Millisecond
-	// defaultCurrent is the report age below which a server is not queried again.
-	defaultCurrent = 4 * time.Millisecond
+	// defaultMaxReportAge is the maximum age of a report that is used for a choice.
+	defaultMaxReportAge = 40 * time.Millisecond
+	// defaultRequeryAge is the report age below which a server is not queried again.
+	defaultRequeryAge = 4 * time.Millisecond
 	// defaultMaxEjected is the largest share of servers that are ejected at a time.
 	defaultMaxEjected = 0.4
 	// defaultSlowRatio is the multiple of the median slowness above which a server
@@ -106,10 +106,10 @@
 
 // Config configures a Chooser. Zero values select the defaults.
 type Config struct {
-	// Fresh is the maximum age of a report that is used for a choice.
-	Fresh time.Duration
-	// Current is the report age below which a server is not queried again.
-	Current time.Duration
+	// MaxReportAge is the maximum age of a report that is used for a choice.
+	MaxReportAge time.Duration
+	// RequeryAge is the report age below which a server is not queried again.
+	RequeryAge time.Duration
 	// MaxOut is the largest share of servers that are ejected at a time. A negative
 	// value disables ejection.
 	MaxOut float64
@@ -150,8 +150,8 @@
 
 // New returns a Chooser without servers.
 func New(cfg Config) *Chooser {
-	cfg.Fresh = cmp.Or(cfg.Fresh, defaultFresh)
-	cfg.Current = cmp.Or(cfg.Current, defaultCurrent)
+	cfg.MaxReportAge = cmp.Or(cfg.MaxReportAge, defaultMaxReportAge)
+	cfg.RequeryAge = cmp.Or(cfg.RequeryAge, defaultRequeryAge)
 	cfg.MaxOut = cmp.Or(cfg.MaxOut, defaultMaxEjected)
 	cfg.Subset = cmp.Or(cfg.Subset, defaultSubset)
 	cfg.SlowRatio = cmp.Or(cfg.SlowRatio, defaultSlowRatio)
@@ -200,7 +200,7 @@
 func (c *Chooser) Ask(now time.Time, rng *rand.Rand, need mustardsaddle.Need, n int) []mustardsaddle.Server {
 	var candidates []*server
 	for _, s := range c.servers {
-		if c.eligible(now, s, need) && s.needsQuery(now, c.cfg.Current) {
+		if c.eligible(now, s, need) && s.needsQuery(now, c.cfg.RequeryAge) {
 			candidates = append(candidates, s)
 		}
 	}
@@ -290,7 +290,7 @@
 func (c *Chooser) Choose(now time.Time, rng *rand.Rand, need mustardsaddle.Need) (mustardsaddle.Choice, bool) {
 	reason := reasonReport
 	best := c.lowestScore(now, rng, need, func(s *server) bool {
-		return s.fresh(now, c.cfg.Fresh) && s.hasCapacity(c.cfg.SlowRatio*c.medianSlowness)
+		return s.fresh(now, c.cfg.MaxReportAge) && s.hasCapacity(c.cfg.SlowRatio*c.medianSlowness)
 	})
 	if best == nil && (need.Blind || !c.hasReports) {
 		reason = reasonOwnInFlight
