--- a/internal/control/rule/accept.go
+++ b/internal/control/rule/accept.go
@@ -7,69 +7,69 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/code"
 )
 
-// maxRefusals is how many refusals Rules/Accepted keeps.
+// maxRefusals is the maximum number of refusals kept in Rules/Accepted.
 const maxRefusals = 64
 
-// maxRefusalBytes bounds the text of a refusal.
+// maxRefusalBytes is the length at which the text of a refusal is truncated.
 const maxRefusalBytes = 256
 
-// Submission is one version of Rules/Submitted, with the file that it edited. A
-// Submission is immutable.
+// Submission is one version of Rules/Submitted, together with the base file that
+// was edited. A Submission is immutable.
 type Submission struct {
 	// Version is the store's version of the submission.
 	Version int64
 	// File is the submitted file.
 	File File
-	// Problems are the mistakes in the file.
+	// Problems are the errors found in the file.
 	Problems []Problem
-	// Base is the accepted file of the generation that the submission names.
+	// Base is the accepted file of the generation that the submission states.
 	Base File
 	// HasBase is true when Base is known.
 	HasBase bool
 }
 
-// ParseSubmission reads one version of Rules/Submitted.
+// ParseSubmission parses one version of Rules/Submitted.
 func ParseSubmission(version int64, text string) Submission {
 	file, problems := Parse(text)
 	return Submission{Version: version, File: file, Problems: problems}
 }
 
-// LostSubmission stands for a version that the store no longer has.
+// LostSubmission returns a placeholder for a version that the store no longer has.
 func LostSubmission(version int64) Submission {
-	p := problemf(code.RuleSubmissionLost, "the store no longer has this submission").at(1)
+	p := problemf(code.RuleSubmissionLost, "submission is no longer in the store").at(1)
 	return Submission{Version: version, Problems: []Problem{p}}
 }
 
-// LargeSubmission stands for a version that is too large to read.
+// LargeSubmission returns a placeholder for a version that is too large to read.
 func LargeSubmission(version int64) Submission {
 	p := problemf(code.RuleTooLarge, "want at most %d bytes", MaxFileBytes).at(1)
 	return Submission{Version: version, Problems: []Problem{p}}
 }
 
-// WithBase returns a copy of s with the file that it edited.
+// WithBase returns a copy of s with the given base file.
 func (s Submission) WithBase(base File) Submission {
 	s.Base, s.HasBase = base, true
 	return s
 }
 
-// Decision is what becomes of a submission.
+// Decision is the outcome of processing a submission.
 type Decision struct {
-	// Handled is false for a submission that had been handled before; there is
-	// nothing to write then.
+	// Handled is false for a submission that was already processed; then there is
+	// nothing to write.
 	Handled bool
-	// Changed is true when the rules change, and with them the generation.
+	// Changed is true when the rules, and therefore the generation, change.
 	Changed bool
 	// Next is the new accepted state.
 	Next Accepted
-	// Refused are the mistakes and conflicts of this submission.
+	// Refused are the errors and conflicts of this submission.
 	Refused []Problem
 }
 
-// Accept decides about the next submission. A file with a mistake is refused
-// whole; of a file in conflict with a later generation only the conflicting
-// rules are refused. The generation grows by one when the rules change. The
-// decision takes effect only when its Next is written to Rules/Accepted on the
-// condition that a is still the newest.
+// Accept processes the next submission. A file with an error is refused as a
+// whole; in a file that conflicts with a later generation only the conflicting
+// rules are refused. The generation is incremented when the rules change. The
+// decision takes effect only when its Next is written to Rules/Accepted by a
+// conditional write that fails if a is no longer the newest state.
 func Accept(now time.Time, a Accepted, s Submission) Decision {
 	if s.Version <= a.Submission {
 		return Decision{Next: a}
@@ -77,7 +77,7 @@
 	d := Decision{Handled: true, Next: a}
 	d.Next.Submission = s.Version
 	d.Next.At = now
-	file, refused := decide(a, s)
+	file, refused := resolve(a, s)
 	d.Refused = refused
 	d.Next.Refusals = appendRefusals(a.Refusals, s.Version, refused)
 	if sameLines(file, a.File) {
@@ -86,7 +86,7 @@
 	changed := d.Next
 	changed.File = file.WithGeneration(a.File.Generation + 1)
 	if n := len(changed.Format()); n > MaxFileBytes {
-		p := problemf(code.RuleTooLarge, "accepted rules would have %d bytes, want at most %d", n, MaxFileBytes).at(1)
+		p := problemf(code.RuleTooLarge, "merged rules have %d bytes, want at most %d", n, MaxFileBytes).at(1)
 		d.Refused = []Problem{p}
 		d.Next.Refusals = appendRefusals(a.Refusals, s.Version, d.Refused)
 		return d
@@ -96,8 +96,9 @@
 	return d
 }
 
-// decide returns the lines that the submission leads to.
-func decide(a Accepted, s Submission) (File, []Problem) {
+// resolve returns the file that results from applying the submission to the
+// accepted state.
+func resolve(a Accepted, s Submission) (File, []Problem) {
 	if len(s.Problems) > 0 {
 		return a.File, s.Problems
 	}
@@ -108,10 +109,10 @@
 		return s.File, nil
 	}
 	if !s.File.HasGeneration {
-		p := problemf(code.RuleBadGeneration, "no Generation line, want the one of the file that was edited, such as %s%d", generationPrefix, a.File.Generation)
+		p := problemf(code.RuleBadGeneration, "missing Generation line, want the generation of the edited file, such as %s%d", generationPrefix, a.File.Generation)
 		return a.File, []Problem{p.at(1)}
 	}
-	p := problemf(code.RuleUnknownBase, "generation %d is not known, want one up to %d", s.File.Generation, a.File.Generation)
+	p := problemf(code.RuleUnknownBase, "unknown generation %d, want a recent one up to %d", s.File.Generation, a.File.Generation)
 	return a.File, []Problem{p.at(1)}
 }
 
@@ -119,22 +120,23 @@
 	return a.WithGeneration(0).Equal(b.WithGeneration(0))
 }
 
-// appendRefusals adds the problems of a submission, and drops the oldest
-// refusals above the limit.
+// appendRefusals appends the problems of a submission, and drops the oldest
+// refusals beyond maxRefusals. Problems that do not fit are replaced by their
+// count.
 func appendRefusals(refusals []Refusal, submission int64, problems []Problem) []Refusal {
 	all := append([]Refusal(nil), refusals...)
 	for _, p := range problems[:min(len(problems), maxRefusals-1)] {
-		p.Text = shorten(p.Text)
+		p.Text = truncate(p.Text)
 		all = append(all, Refusal{Submission: submission, Problem: p})
 	}
 	if more := len(problems) - (maxRefusals - 1); more > 0 {
-		p := problemf(code.RuleSyntax, "and more mistakes: %d", more).at(problems[maxRefusals-1].Line)
+		p := problemf(code.RuleSyntax, "%d more problems", more).at(problems[maxRefusals-1].Line)
 		all = append(all, Refusal{Submission: submission, Problem: p})
 	}
 	return all[max(0, len(all)-maxRefusals):]
 }
 
-func shorten(text string) string {
+func truncate(text string) string {
 	if len(text) > maxRefusalBytes {
 		text = text[:maxRefusalBytes] + "…"
 	}
--- a/internal/control/rule/accepted.go
+++ b/internal/control/rule/accepted.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Accepted is the content of Rules/Accepted: the newest accepted generation and
-// what has been handled to reach it. An Accepted is immutable.
+// Accepted is the content of the stored object Rules/Accepted: the newest accepted
+// generation and the last submission processed. An Accepted is immutable.
 type Accepted struct {
 	// File holds the accepted rules and their generation.
 	File File
-	// Submission is the store's version of the last submission handled.
+	// Submission is the store's version of the last submission processed.
 	Submission int64
-	// At is when that submission was handled.
+	// At is when that submission was processed.
 	At time.Time
-	// Refusals are the latest refusals, the newest last.
+	// Refusals are the most recent refusals, oldest first.
 	Refusals []Refusal
 }
 
-// ParseAccepted reads Rules/Accepted. The error has code.StoreTooLarge,
-// code.StoreNewerFormat or code.StoreBadObject; the caller then keeps the last
-// good state.
+// ParseAccepted parses Rules/Accepted. Its errors have the code
+// code.StoreTooLarge, code.StoreNewerFormat or code.StoreBadObject; on an error the
+// caller should keep the last valid state.
 func ParseAccepted(text string) (Accepted, error) {
 	h, file, err := parseObject(kindAccepted, text)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return Accepted{File: file, Submission: h.submission, At: h.at, Refusals: h.refusals}, nil
 }
 
-// Format returns the text of the object.
+// Format returns the object's stored text.
 func (a Accepted) Format() string {
 	var b strings.Builder
 	h := header{submission: a.Submission, at: a.At, refusals: a.Refusals}
--- a/internal/control/rule/change.go
+++ b/internal/control/rule/change.go
@@ -10,48 +10,48 @@
 
 //go:generate go tool -modfile=../../../tools/go.mod stringer -type=Result,Verdict -output=enum_string.go
 
-// Change is the difference between two generations of a file. Its size depends
-// on the lines that differ alone.
+// Change is a line diff between two generations of a file. Its size depends only
+// on the lines that differ.
 type Change struct {
-	// From is the generation that the change starts from.
+	// From is the generation that the change applies to.
 	From int64
-	// To is the generation that it leads to.
+	// To is the resulting generation.
 	To int64
-	// Submission is the submission that led to it.
+	// Submission is the store's version of the submission that caused the change.
 	Submission int64
-	// Out are the lines that go, with their positions in the old file.
+	// Out are the deleted lines, with their positions in the old file.
 	Out []Edit
-	// In are the lines that come, with their positions in the new file.
+	// In are the inserted lines, with their positions in the new file.
 	In []Edit
 	// Digest is the digest of the new file.
 	Digest uint64
 }
 
-// Edit is one line at a position, counted from 0 below the header.
+// Edit is one deleted or inserted line.
 type Edit struct {
-	// At is the position.
+	// At is the position, counted from 0 below the header.
 	At int
-	// Text is the line.
+	// Text is the text of the line.
 	Text string
 }
 
-// Result says what became of a change.
+// Result is the outcome of applying a change.
 type Result int
 
 const (
-	// Applied means that the change led to a newer generation.
+	// Applied means that the change produced a newer generation.
 	Applied Result = iota
-	// Stale means that the file has the change's generation or a newer one.
+	// Stale means that the file already has the change's generation or a newer one.
 	Stale
-	// Gap means that the file is older than the change's start: the whole file
-	// is needed.
+	// Gap means that the file's generation is not the one that the change applies
+	// to: the whole file is needed.
 	Gap
-	// BadDigest means that the change does not fit the file or that the result
-	// differs from the sender's: the whole file is needed.
+	// BadDigest means that the change does not apply to the file, or that the
+	// result's digest differs from the sender's: the whole file is needed.
 	BadDigest
 )
 
-// Diff returns the change that leads from one file to another.
+// Diff returns the change that turns one file into another.
 func Diff(from, to File) Change {
 	c := Change{From: from.Generation, To: to.Generation, Digest: to.Digest()}
 	start := 0
@@ -63,14 +63,14 @@
 		endFrom--
 		endTo--
 	}
-	keptFrom, keptTo := common(from.lines[start:endFrom], to.lines[start:endTo])
-	c.Out = missing(from.lines[start:endFrom], keptFrom, start)
-	c.In = missing(to.lines[start:endTo], keptTo, start)
+	keptFrom, keptTo := commonLines(from.lines[start:endFrom], to.lines[start:endTo])
+	c.Out = unmatched(from.lines[start:endFrom], keptFrom, start)
+	c.In = unmatched(to.lines[start:endTo], keptTo, start)
 	return c
 }
 
-// missing returns the lines whose position is not among the kept ones.
-func missing(lines []line, kept []int, offset int) []Edit {
+// unmatched returns the lines whose positions are not in kept.
+func unmatched(lines []line, kept []int, offset int) []Edit {
 	var edits []Edit
 	for i, l := range lines {
 		if len(kept) > 0 && kept[0] == i {
@@ -82,9 +82,11 @@
 	return edits
 }
 
-// common returns the positions, in both slices, of a longest common subsequence
-// of the lines whose text is unique: an increasing subsequence by patience.
-func common(a, b []line) (inA, inB []int) {
+// commonLines returns the positions, in both slices, of a common subsequence of
+// lines. It considers only lines whose text is unique in b, each at its first
+// position in a, and finds the longest increasing subsequence of their positions
+// by patience sorting.
+func commonLines(a, b []line) (inA, inB []int) {
 	at := make(map[string]int, len(b))
 	for i, l := range b {
 		if _, repeated := at[l.text]; repeated {
@@ -123,8 +125,8 @@
 	return inA, inB
 }
 
-// Apply applies the change to a file. The returned File is the new one if the
-// result is Applied, else f. Rules of lines that stay are shared with f.
+// Apply applies the change to a file. It returns the new file if the result is
+// Applied, and f otherwise. The rules of unchanged lines are shared with f.
 func (c Change) Apply(f File) (File, Result) {
 	switch {
 	case c.To <= f.Generation:
@@ -147,7 +149,8 @@
 	return next, Applied
 }
 
-// remove returns the lines without those that go.
+// remove returns the lines without the deleted ones. It returns false if a deleted
+// line does not match.
 func (c Change) remove(lines []line) ([]line, bool) {
 	kept := make([]line, 0, len(lines)+len(c.In))
 	next := 0
@@ -161,7 +164,8 @@
 	return append(kept, lines[next:]...), true
 }
 
-// insert returns the lines with those that come at their positions.
+// insert returns the kept lines with the inserted ones at their positions. It
+// returns false if a position or a line is invalid.
 func (c Change) insert(kept []line) ([]line, bool) {
 	if len(c.In) == 0 {
 		return kept, true
@@ -183,23 +187,24 @@
 	return append(lines, kept...), true
 }
 
-// parseEdit parses one line that comes from a peer.
+// parseEdit parses one line received from a peer.
 func parseEdit(text string) (line, bool) {
 	p := parser{seen: make(map[ID]int)}
-	// The line must not hold the whole text that it may be a part of.
+	// The clone keeps the line from retaining the larger text that it may be a
+	// substring of.
 	text = strings.Clone(text)
-	p.line(1, text)
+	p.parseLine(1, text)
 	if len(p.problems) > 0 || len(p.file.lines) != 1 || p.file.lines[0].text != text {
 		return line{}, false
 	}
 	return p.file.lines[0], true
 }
 
-// Err returns nil for Applied and Stale, and else an error that says why the
-// whole file is needed.
+// Err returns nil for Applied and Stale, and otherwise an error that states why
+// the whole file is needed.
 func (r Result) Err() error {
 	if r == Applied || r == Stale {
 		return nil
 	}
-	return code.Errorf(code.PeerBadMessage, "apply change of rules: got %s, want the whole file", r)
+	return code.Errorf(code.PeerBadMessage, "apply rule change: got result %s, the whole file is needed", r)
 }
--- a/internal/control/rule/change_test.go
+++ b/internal/control/rule/change_test.go
@@ -18,38 +18,38 @@
 		change := rule.Diff(from, to)
 		next, result := change.Apply(from)
 		if result != rule.Applied || !next.Equal(to) {
-			t.Fatalf("got %s and %q, want %q", result, next.Format(), to.Format())
+			t.Fatalf("got result %s and file %q, want %q", result, next.Format(), to.Format())
 		}
 		other := genFile(t, 3)
 		if next, result := change.Apply(other); result == rule.Applied && !next.Equal(to) {
-			t.Fatalf("applied to another file: got %q, want %q", next.Format(), to.Format())
+			t.Fatalf("applied the change to another file: got %q, want %q", next.Format(), to.Format())
 		}
 	})
 }
 
 func TestApplyResult(t *testing.T) {
 	change := rule.Diff(fileOf(4, lineA, lineB), fileOf(5, lineA, lineC))
-	broken := change
-	broken.Digest++
-	beyond := change
-	beyond.In = []rule.Edit{{At: 9, Text: lineC}}
-	invalid := change
-	invalid.In = []rule.Edit{{At: 1, Text: "Path=/c"}}
+	wrongDigest := change
+	wrongDigest.Digest++
+	beyondEnd := change
+	beyondEnd.In = []rule.Edit{{At: 9, Text: lineC}}
+	invalidLine := change
+	invalidLine.In = []rule.Edit{{At: 1, Text: "Path=/c"}}
 	for _, test := range []struct {
 		name   string
 		change rule.Change
 		file   rule.File
 		want   rule.Result
 	}{
-		{"next", change, fileOf(4, lineA, lineB), rule.Applied},
-		{"twice", change, fileOf(5, lineA, lineC), rule.Stale},
-		{"late", change, fileOf(7, lineA), rule.Stale},
-		{"gap", change, fileOf(3, lineA, lineB), rule.Gap},
-		{"other content", change, fileOf(4, lineA, lineD), rule.BadDigest},
-		{"shorter", change, fileOf(4, lineA), rule.BadDigest},
-		{"digest", broken, fileOf(4, lineA, lineB), rule.BadDigest},
-		{"position", beyond, fileOf(4, lineA, lineB), rule.BadDigest},
-		{"invalid line", invalid, fileOf(4, lineA, lineB), rule.BadDigest},
+		{"next generation", change, fileOf(4, lineA, lineB), rule.Applied},
+		{"applied twice", change, fileOf(5, lineA, lineC), rule.Stale},
+		{"older than the file", change, fileOf(7, lineA), rule.Stale},
+		{"generation gap", change, fileOf(3, lineA, lineB), rule.Gap},
+		{"deleted line differs", change, fileOf(4, lineA, lineD), rule.BadDigest},
+		{"deleted line beyond the end", change, fileOf(4, lineA), rule.BadDigest},
+		{"digest mismatch", wrongDigest, fileOf(4, lineA, lineB), rule.BadDigest},
+		{"insertion beyond the end", beyondEnd, fileOf(4, lineA, lineB), rule.BadDigest},
+		{"invalid inserted line", invalidLine, fileOf(4, lineA, lineB), rule.BadDigest},
 	} {
 		convey.Convey("Given the change: "+test.name, t, func() {
 			next, result := test.change.Apply(test.file)
@@ -61,7 +61,7 @@
 	}
 }
 
-// largeFile returns a file of n rules, 10 below each first segment.
+// largeFile returns a file of n rules, 10 for each first path segment.
 func largeFile(n int) rule.File {
 	lines := make([]string, 0, n)
 	for i := range n {
@@ -74,8 +74,8 @@
 	return fileOf(1, lines...)
 }
 
-// oneChanged returns the file with its middle rule changed.
-func oneChanged(f rule.File) rule.File {
+// withOneChange returns generation 2 of the file, with the middle rule changed.
+func withOneChange(f rule.File) rule.File {
 	lines := strings.Split(strings.TrimSpace(f.Format()), "\n")[1:]
 	lines[len(lines)/2] = strings.Replace(lines[len(lines)/2], "why", "another reason", 1)
 	return fileOf(2, lines...)
@@ -84,15 +84,16 @@
 func TestChangeSizeIsFlat(t *testing.T) {
 	convey.Convey("Given one changed rule in files of 300 and 15,000 rules", t, func() {
 		small, large := largeFile(300), largeFile(15000)
-		a, err := cbor.Marshal(rule.Diff(small, oneChanged(small)))
+		a, err := cbor.Marshal(rule.Diff(small, withOneChange(small)))
 		convey.So(err, convey.ShouldBeNil)
-		b, err := cbor.Marshal(rule.Diff(large, oneChanged(large)))
+		b, err := cbor.Marshal(rule.Diff(large, withOneChange(large)))
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(len(b)-len(a), convey.ShouldBeLessThan, 32)
 	})
 }
 
-// TestApplyOfAnyChange checks that no change of a peer breaks anything.
+// TestApplyOfAnyChange applies arbitrary changes, as a faulty peer might send them.
+// An applied change must match its digest, and any other must leave the file as is.
 func TestApplyOfAnyChange(t *testing.T) {
 	edit := rapid.Custom(func(t *rapid.T) rule.Edit {
 		at := rapid.OneOf(rapid.IntRange(-2, 5), rapid.Int()).Draw(t, "at")
@@ -105,7 +106,7 @@
 		change.In = rapid.SliceOfN(edit, 0, 3).Draw(t, "in")
 		next, result := change.Apply(file)
 		if result == rule.Applied && next.Digest() != change.Digest || result != rule.Applied && !next.Equal(file) {
-			t.Fatalf("got %s and %q", result, next.Format())
+			t.Fatalf("got result %s and file %q", result, next.Format())
 		}
 	})
 }
--- a/internal/control/rule/explain.go
+++ b/internal/control/rule/explain.go
@@ -6,32 +6,33 @@
 	"github.com/gorilla/mux"
 )
 
-// Verdict says how a rule relates to a request.
+// Verdict tells whether a rule matches a request, and if not, why.
 type Verdict int
 
 const (
-	// Chosen means that the rule matches and is the most specific one.
+	// Chosen means that the rule is the most specific match.
 	Chosen Verdict = iota
-	// LessSpecific means that the rule matches too, but another one is chosen.
+	// LessSpecific means that the rule matches, but a more specific one is chosen.
 	LessSpecific
-	// OtherMethod means that the path matches and the method does not.
+	// OtherMethod means that the path matches but the method does not.
 	OtherMethod
 	// OtherPath means that the path does not match.
 	OtherPath
 )
 
-// Step is one rule that was considered for a request.
+// Step is one rule that Match considers for a request.
 type Step struct {
-	// Line is the line of the rule in the file, with its Generation line, from 1.
+	// Line is the line number of the rule in the formatted file, from 1; the
+	// Generation line is line 1.
 	Line int
-	// Rule is the rule.
+	// Rule is the rule considered.
 	Rule Rule
-	// Verdict says how the rule relates to the request.
+	// Verdict tells whether the rule matches the request.
 	Verdict Verdict
 }
 
-// Explain returns the rules that share a host and the beginning of the path with
-// the request, in the order in which Match considers them.
+// Explain returns the rules in the buckets of the request's host and path prefixes,
+// in the order in which Match considers them.
 func (t *Table) Explain(r *http.Request) []Step {
 	if hasDotSegment(r.URL.Path) {
 		return nil
@@ -44,7 +45,7 @@
 			break
 		}
 		for i, candidate := range b.rules {
-			step := Step{Line: numbers[candidate.ID()], Rule: *candidate, Verdict: check(b.routes[i], r)}
+			step := Step{Line: numbers[candidate.ID()], Rule: *candidate, Verdict: matchRoute(b.routes[i], r)}
 			if step.Verdict == Chosen {
 				step.Verdict = verdict
 				verdict = LessSpecific
@@ -55,8 +56,8 @@
 	return steps
 }
 
-// check returns Chosen for a route that matches.
-func check(route *mux.Route, r *http.Request) Verdict {
+// matchRoute returns Chosen if the route matches, and the reason if it does not.
+func matchRoute(route *mux.Route, r *http.Request) Verdict {
 	var m mux.RouteMatch
 	switch {
 	case route.Match(r, &m):
@@ -68,7 +69,7 @@
 	}
 }
 
-// lineNumbers returns the line of each rule in the text that Format gives.
+// lineNumbers returns the line number of each rule in the text that Format returns.
 func (t *Table) lineNumbers() map[ID]int {
 	const firstLine = 2
 	numbers := make(map[ID]int)
--- a/internal/control/rule/field.go
+++ b/internal/control/rule/field.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// maxDeadline bounds the times of a rule.
-	maxDeadline = 24 * time.Hour
-	// maxAttempts bounds the Attempts of a rule.
+	// maxDuration is the upper limit of Deadline, Target and Idle.
+	maxDuration = 24 * time.Hour
+	// maxAttempts is the upper limit of Attempts.
 	maxAttempts = 16
-	// maxPriority is the lowest rank of a rule.
+	// maxPriority is the upper limit of Priority, which is the lowest priority.
 	maxPriority = 1000
-	// maxConnections bounds the Connections of a service.
+	// maxConnections is the upper limit of Connections.
 	maxConnections = 1 << 20
 )
 
-// setField parses one field into r. The Problem has code.OK when it is valid.
+// setField parses one field into r. The Problem has code.OK if the value is valid.
 func setField(r *Rule, name, value string) Problem {
 	switch name {
 	case "Host":
@@ -38,22 +38,22 @@
 		_, problem := parseSplit(value)
 		return problem
 	case "Deadline":
-		return setPeriod(&r.Deadline, name, value)
+		return setDuration(&r.Deadline, name, value)
 	case "Repeat":
 		return setRepeat(r, value)
 	case "Attempts":
-		return setNumber(&r.Attempts, name, value, 1, maxAttempts)
+		return setInt(&r.Attempts, name, value, 1, maxAttempts)
 	case "Target":
-		return setPeriod(&r.Target, name, value)
+		return setDuration(&r.Target, name, value)
 	case "Priority":
-		return setNumber(&r.Priority, name, value, 0, maxPriority)
+		return setInt(&r.Priority, name, value, 0, maxPriority)
 	case "Probe":
 		r.Probe = value
 		return checkProbe(value)
 	case "Connections":
-		return setNumber(&r.Connections, name, value, 1, maxConnections)
+		return setInt(&r.Connections, name, value, 1, maxConnections)
 	case "Idle":
-		return setPeriod(&r.Idle, name, value)
+		return setDuration(&r.Idle, name, value)
 	default:
 		return problemf(code.RuleUnknownField, "unknown field %q", name)
 	}
@@ -85,7 +85,7 @@
 		}
 	}
 	if value == "" || value == http.MethodConnect {
-		return problemf(code.RuleBadValue, "got Method=%s, want a method that can be forwarded", value)
+		return problemf(code.RuleBadValue, "got Method=%s, want a method, and not CONNECT, which cannot be forwarded", value)
 	}
 	return Problem{}
 }
@@ -106,16 +106,16 @@
 	return unicode.IsLetter(c) || unicode.IsDigit(c) || c == '_'
 }
 
-func setPeriod(field *time.Duration, name, value string) Problem {
+func setDuration(field *time.Duration, name, value string) Problem {
 	d, err := time.ParseDuration(value)
-	if err != nil || d <= 0 || d > maxDeadline {
+	if err != nil || d <= 0 || d > maxDuration {
 		return problemf(code.RuleBadValue, "got %s=%s, want a duration up to 24h, such as 2s", name, value)
 	}
 	*field = d
 	return Problem{}
 }
 
-func setNumber(field *int, name, value string, lo, hi int) Problem {
+func setInt(field *int, name, value string, lo, hi int) Problem {
 	n, err := strconv.Atoi(value)
 	if err != nil || n < lo || n > hi {
 		return problemf(code.RuleBadValue, "got %s=%s, want a whole number from %d to %d", name, value, lo, hi)
@@ -124,7 +124,7 @@
 	return Problem{}
 }
 
-// checkProbe accepts a plain path without a query.
+// checkProbe accepts an absolute path without query, percent-encoding or backslash.
 func checkProbe(value string) Problem {
 	if !strings.HasPrefix(value, "/") || strings.ContainsAny(value, "?%\\") {
 		return problemf(code.RuleBadValue, "got Probe=%s, want a plain path, such as /load", value)
@@ -146,24 +146,25 @@
 	return strings.TrimPrefix(repeat.String(), "Repeat")
 }
 
-// checkPath accepts what Compile can hand to the router: a clean absolute path
-// in plain UTF-8, whose segments may be {Name}, and the last one *.
+// checkPath accepts the paths that Compile supports: a clean absolute path in
+// UTF-8 without percent-encoding, whose segments may be {Name} and whose last
+// segment may be *.
 func checkPath(path string) Problem {
 	rest, ok := strings.CutPrefix(path, "/")
 	if !ok {
 		return problemf(code.RuleBadPattern, "got Path=%s, want a path that starts with /", path)
 	}
 	if strings.ContainsAny(path, `%?\`) {
-		return problemf(code.RuleBadPattern, "got Path=%s, want plain text without %%, ? and \\", path)
+		return problemf(code.RuleBadPattern, "got Path=%s, want a path without %%, ? and \\", path)
 	}
 	segments := strings.Split(rest, "/")
 	seen := make(map[string]bool)
 	for i, segment := range segments {
 		last := i == len(segments)-1
-		if reason := checkSegment(segment, last); reason != "" {
-			return problemf(code.RuleBadPattern, "got Path=%s, %s", path, reason)
+		if expected := checkSegment(segment, last); expected != "" {
+			return problemf(code.RuleBadPattern, "got Path=%s, %s", path, expected)
 		}
-		if isPattern(segment) && seen[segment] {
+		if isParam(segment) && seen[segment] {
 			return problemf(code.RuleBadPattern, "got Path=%s, want each {Name} once", path)
 		}
 		seen[segment] = true
@@ -171,7 +172,7 @@
 	return Problem{}
 }
 
-// checkSegment returns what is wrong with a segment of a path, or "".
+// checkSegment returns what is wrong with a segment of a path, or "" if it is valid.
 func checkSegment(segment string, last bool) string {
 	switch {
 	case segment == "" && !last:
@@ -188,7 +189,7 @@
 	name, ok := strings.CutPrefix(segment, "{")
 	name, ok2 := strings.CutSuffix(name, "}")
 	if !ok || !ok2 || name == "" || strings.ContainsFunc(name, func(c rune) bool { return !isNameRune(c) }) {
-		return "want {Name} as a whole segment, with letters and digits only; got " + strconv.Quote(segment)
+		return "want {Name} as a whole segment, with letters, digits and _ only; got " + strconv.Quote(segment)
 	}
 	return ""
 }
--- a/internal/control/rule/file.go
+++ b/internal/control/rule/file.go
@@ -9,10 +9,11 @@
 )
 
 // File is a rules file: its generation and its lines in order. A File is
-// immutable; files that differ little share their rules.
+// immutable. A file that Change.Apply returns shares the unchanged rules with the
+// file before.
 type File struct {
-	// Generation is the generation that the file states: of itself in an
-	// accepted file, of the file that was edited in a submission.
+	// Generation is the generation that the file states: its own in an accepted
+	// file, that of the edited file in a submission.
 	Generation int64
 	// HasGeneration is true when the text has a Generation line.
 	HasGeneration bool
@@ -25,7 +26,7 @@
 	text string
 	// rule is the parsed rule; nil for a comment or an empty line.
 	rule *Rule
-	// number is the line number in the text that was parsed, from 1.
+	// number is the line number in the parsed text, from 1.
 	number int
 }
 
@@ -45,7 +46,7 @@
 	return len(f.lines)
 }
 
-// Size returns the number of bytes of the lines below the header.
+// Size returns the size in bytes of the lines below the header.
 func (f File) Size() int {
 	size := 0
 	for _, l := range f.lines {
@@ -54,8 +55,8 @@
 	return size
 }
 
-// Format returns the text of the file, with its Generation line. Parse of that
-// text gives an equal file.
+// Format returns the text of the file, including its Generation line. Parsing that
+// text yields an equal file.
 func (f File) Format() string {
 	var b strings.Builder
 	b.WriteString(generationPrefix + strconv.FormatInt(f.Generation, 10) + "\n")
@@ -70,7 +71,7 @@
 	}
 }
 
-// Digest returns a digest of the lines below the header.
+// Digest returns a hash of the lines below the header.
 func (f File) Digest() uint64 {
 	d := xxhash.New()
 	for _, l := range f.lines {
@@ -89,7 +90,7 @@
 	return a.text == b.text
 }
 
-// WithGeneration returns a copy of f that states the given generation.
+// WithGeneration returns a copy of f with the given generation.
 func (f File) WithGeneration(generation int64) File {
 	f.Generation = generation
 	f.HasGeneration = true
--- a/internal/control/rule/header.go
+++ b/internal/control/rule/header.go
@@ -19,23 +19,24 @@
 	codePrefix       = "# Code "
 )
 
-// formatNumber is the newest format of the objects that this program reads.
-const formatNumber = 1
+// formatVersion is the newest format version of the stored objects that this
+// program can read, and the one that it writes.
+const formatVersion = 1
 
 const kindAccepted, kindInForce = "Accepted", "InForce"
 
-// isHeader reports whether a line belongs to the header of an object of ours.
-// Such a line is never kept among the rules, so that it can't be taken for a
-// header when the lines above it go.
-func isHeader(s string) bool {
-	if strings.HasPrefix(s, generationPrefix) || isFormat(s) {
+// isHeaderLine reports whether a line belongs to the header of a stored object.
+// Such a line is never kept among the rules, where it could be parsed as part of
+// the header once the lines above it are removed.
+func isHeaderLine(s string) bool {
+	if strings.HasPrefix(s, generationPrefix) || isFormatLine(s) {
 		return true
 	}
-	ok, err := new(header).take(s)
+	ok, err := new(header).parseLine(s)
 	return ok && err == nil
 }
 
-func isFormat(s string) bool {
+func isFormatLine(s string) bool {
 	for _, kind := range []string{kindAccepted, kindInForce} {
 		if _, ok := parseNumber(strings.TrimPrefix(s, formatPrefix+kind+" ")); ok {
 			return true
@@ -44,7 +45,7 @@
 	return false
 }
 
-// header is the part of an object above the rules.
+// header holds the metadata that precedes the rules in a stored object.
 type header struct {
 	submission int64
 	at         time.Time
@@ -52,11 +53,12 @@
 	refusals   []Refusal
 }
 
-// parseObject reads an object of ours. The error has code.StoreTooLarge,
-// code.StoreNewerFormat, or code.StoreBadObject for all else.
+// parseObject parses a stored object. Its errors have the code
+// code.StoreTooLarge, code.StoreNewerFormat, or code.StoreBadObject for any other
+// failure.
 func parseObject(kind, text string) (header, File, error) {
 	if len(text) > MaxFileBytes {
-		return header{}, File{}, code.Errorf(code.StoreTooLarge, "read %s: got %d bytes, want at most %d", kind, len(text), MaxFileBytes)
+		return header{}, File{}, code.Errorf(code.StoreTooLarge, "parse %s: got %d bytes, want at most %d", kind, len(text), MaxFileBytes)
 	}
 	if err := checkFormat(kind, text); err != nil {
 		return header{}, File{}, err
@@ -64,41 +66,43 @@
 	var h header
 	for s := range strings.Lines(text) {
 		s = strings.TrimSpace(s)
-		if !isHeader(s) {
+		if !isHeaderLine(s) {
 			break
 		}
-		_, _ = h.take(s)
+		_, _ = h.parseLine(s)
 	}
 	file, problems := Parse(text)
 	if len(problems) > 0 {
-		return header{}, File{}, code.Errorf(code.StoreBadObject, "read %s: %s", kind, problems[0])
+		return header{}, File{}, code.Errorf(code.StoreBadObject, "parse %s: %s", kind, problems[0])
 	}
 	if !file.HasGeneration {
-		return header{}, File{}, code.Errorf(code.StoreBadObject, "read %s: no Generation line", kind)
+		return header{}, File{}, code.Errorf(code.StoreBadObject, "parse %s: missing Generation line", kind)
 	}
 	return h, file, nil
 }
 
-// checkFormat checks the first line, which states the kind and the format.
+// checkFormat checks the first line, which states the kind of the object and its
+// format version.
 func checkFormat(kind, text string) error {
 	first, _, _ := strings.Cut(text, "\n")
 	rest, ok := strings.CutPrefix(strings.TrimRight(first, "\r"), formatPrefix+kind+" ")
 	n, valid := parseNumber(rest)
 	if !ok || !valid {
-		return code.Errorf(code.StoreBadObject, "read %s: got first line %.80q, want %q", kind, first, formatLine(kind))
+		return code.Errorf(code.StoreBadObject, "parse %s: got first line %.80q, want %q", kind, first, formatLine(kind))
 	}
-	if n > formatNumber {
-		return code.Errorf(code.StoreNewerFormat, "read %s: got format %d, want at most %d", kind, n, formatNumber)
+	if n > formatVersion {
+		return code.Errorf(code.StoreNewerFormat, "parse %s: got format version %d, want at most %d", kind, n, formatVersion)
 	}
 	return nil
 }
 
 func formatLine(kind string) string {
-	return formatPrefix + kind + " " + strconv.Itoa(formatNumber)
+	return formatPrefix + kind + " " + strconv.Itoa(formatVersion)
 }
 
-// take reads one header line. It returns false for a line of another kind.
-func (h *header) take(s string) (bool, error) {
+// parseLine parses one header line into h. It returns false if s is not a header
+// line.
+func (h *header) parseLine(s string) (bool, error) {
 	if text, ok := strings.CutPrefix(s, submissionPrefix); ok {
 		n, err := strconv.ParseInt(text, 10, 64)
 		h.submission = n
--- a/internal/control/rule/inforce.go
+++ b/internal/control/rule/inforce.go
@@ -8,15 +8,15 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/code"
 )
 
-// VM is the generation that one gateway VM has in force.
+// VM states the active generation of one gateway VM.
 type VM struct {
 	// Name is the name of the gateway VM.
 	Name string
-	// Generation is the generation in force there.
+	// Generation is the generation active on that VM.
 	Generation int64
 }
 
-// String returns the header line of v.
+// String returns v as a header line.
 func (v VM) String() string {
 	return fmt.Sprintf("%s%s Generation=%d", vmPrefix, v.Name, v.Generation)
 }
@@ -25,21 +25,22 @@
 	name, text, ok := strings.Cut(strings.TrimPrefix(s, vmPrefix), " Generation=")
 	n, valid := parseNumber(text)
 	if !ok || !valid || name == "" {
-		return VM{}, code.Errorf(code.StoreBadObject, "got %q, want %sgateway-1 Generation=41", s, vmPrefix)
+		return VM{}, code.Errorf(code.StoreBadObject, "parse VM line: got %q, want a line such as %sgateway-1 Generation=41", s, vmPrefix)
 	}
 	return VM{Name: name, Generation: n}, nil
 }
 
-// InForce is the content of Rules/InForce, which operators read back: the newest
-// file, which VMs have it, and what was refused. An InForce is immutable.
+// InForce is the content of the stored object Rules/InForce, the status report for
+// operators: the newest accepted file, the generation active on each gateway VM, and
+// recent refusals. An InForce is immutable.
 type InForce struct {
-	// Accepted is the newest accepted state that the writer knew.
+	// Accepted is the newest accepted state known to the writer.
 	Accepted Accepted
-	// VMs are the gateway VMs, by name.
+	// VMs are the gateway VMs, sorted by name.
 	VMs []VM
 }
 
-// ParseInForce reads Rules/InForce. Its errors are those of ParseAccepted.
+// ParseInForce parses Rules/InForce. Its errors have the codes of ParseAccepted.
 func ParseInForce(text string) (InForce, error) {
 	h, file, err := parseObject(kindInForce, text)
 	if err != nil {
@@ -49,7 +50,7 @@
 	return InForce{Accepted: a}.WithVMs(h.vms), nil
 }
 
-// Format returns the text of the object.
+// Format returns the object's stored text.
 func (f InForce) Format() string {
 	var b strings.Builder
 	a := f.Accepted
@@ -59,7 +60,8 @@
 	return b.String()
 }
 
-// WithAccepted returns a copy of f with the given state, unless f has a newer one.
+// WithAccepted returns a copy of f with the given state if it is newer than that of
+// f, and f unchanged otherwise.
 func (f InForce) WithAccepted(a Accepted) InForce {
 	if a.Submission > f.Accepted.Submission || a.File.Generation > f.Accepted.File.Generation {
 		f.Accepted = a
@@ -67,8 +69,8 @@
 	return f
 }
 
-// WithVMs returns a copy of f that also knows the given VMs. Of two generations
-// of a VM the higher one stays.
+// WithVMs returns a copy of f with the given VMs merged in. For a VM that f already
+// has, the higher generation is kept.
 func (f InForce) WithVMs(vms []VM) InForce {
 	f.VMs = slices.Clone(f.VMs)
 	for _, vm := range vms {
@@ -86,13 +88,14 @@
 	return strings.Compare(v.Name, name)
 }
 
-// WithOnly returns a copy of f without the VMs that keep does not accept.
+// WithOnly returns a copy of f with only the VMs for which keep returns true.
 func (f InForce) WithOnly(keep func(name string) bool) InForce {
 	f.VMs = slices.DeleteFunc(slices.Clone(f.VMs), func(v VM) bool { return !keep(v.Name) })
 	return f
 }
 
-// Has reports whether f already states everything that the given VMs have.
+// Has reports whether f is at least as new as the given accepted state and the
+// given VMs' generations.
 func (f InForce) Has(a Accepted, vms []VM) bool {
 	if a.Submission > f.Accepted.Submission || a.File.Generation > f.Accepted.File.Generation {
 		return false
--- a/internal/control/rule/merge.go
+++ b/internal/control/rule/merge.go
@@ -2,12 +2,12 @@
 
 import "mustardsaddle.example/mustardsaddle/internal/base/code"
 
-// key identifies a line over all generations: a rule by its ID, any other line
-// by its text and how many equal lines stand above it.
+// key identifies a line across generations: a rule by its ID, any other line by
+// its text and the number of equal lines above it.
 type key struct {
-	id   ID
-	text string
-	nth  int
+	id         ID
+	text       string
+	occurrence int
 }
 
 // index maps the keys of a file's lines to their positions.
@@ -19,13 +19,13 @@
 
 func indexOf(f File) index {
 	x := index{file: f, keys: make([]key, len(f.lines)), at: make(map[key]int, len(f.lines))}
-	nth := make(map[string]int)
+	occurrences := make(map[string]int)
 	for i, l := range f.lines {
-		k := key{text: "#" + l.text, nth: nth[l.text]}
+		k := key{text: "#" + l.text, occurrence: occurrences[l.text]}
 		if l.rule != nil {
 			k = key{id: l.rule.ID()}
 		} else {
-			nth[l.text]++
+			occurrences[l.text]++
 		}
 		x.keys[i] = k
 		x.at[k] = i
@@ -33,7 +33,7 @@
 	return x
 }
 
-// line returns the line with the given key, or nil.
+// line returns the line with the given key, or nil if there is none.
 func (x index) line(k key) *line {
 	i, ok := x.at[k]
 	if !ok {
@@ -42,21 +42,21 @@
 	return &x.file.lines[i]
 }
 
-// Merge combines what a submission changed against its base with what has been
-// accepted since. Changes of different rules both stay. Where both changed the
-// same rule differently, or one removed what the other changed, the accepted one
-// stays and the Problem names the refused line.
+// Merge performs a three-way merge of a submission with the changes accepted since
+// its base. Changes to different rules are combined. If both sides changed the same
+// rule differently, or one removed a rule that the other changed, the accepted
+// version is kept and a Problem states the line of the refused change.
 //
-// The order of lines is the accepted one; new lines follow the line that they
-// follow in the submission. With nothing accepted since, the result is the
-// submission as written.
+// Lines keep the order of the accepted file; a new line is inserted after the line
+// that it follows in the submission. If nothing was accepted since the base, the
+// result is the submission as written.
 func Merge(base, accepted, submitted File) (File, []Problem) {
 	if base.Generation == accepted.Generation {
 		return submitted.WithGeneration(accepted.Generation), nil
 	}
 	m := merger{base: indexOf(base), accepted: indexOf(accepted), submitted: indexOf(submitted)}
-	kept, problems := m.keep()
-	added, conflicts := m.added(kept)
+	kept, problems := m.mergeAccepted()
+	added, conflicts := m.addedLines(kept)
 	merged := File{Generation: accepted.Generation, HasGeneration: true}
 	merged.lines = append(merged.lines, added[-1]...)
 	for i := range accepted.lines {
@@ -72,8 +72,9 @@
 	base, accepted, submitted index
 }
 
-// keep decides about each accepted line: nil where the submission removes it.
-func (m merger) keep() ([]*line, []Problem) {
+// mergeAccepted returns the merged version of each accepted line, nil if the
+// submission removes it, and the conflicts.
+func (m merger) mergeAccepted() ([]*line, []Problem) {
 	kept := make([]*line, len(m.accepted.keys))
 	var problems []Problem
 	for i, k := range m.accepted.keys {
@@ -91,18 +92,18 @@
 	return kept, problems
 }
 
-// conflict describes a rule that the submission and an accepted one changed.
+// conflict describes a rule that both the submission and the accepted file changed.
 func (m merger) conflict(k key, b, s *line) Problem {
 	name := describe(k.id)
 	if s == nil {
-		p := problemf(code.RuleConflictRemoval, "removes %s, which was changed after generation %d", name, m.base.file.Generation)
+		p := problemf(code.RuleConflictRemoval, "removes %s, which has changed since generation %d", name, m.base.file.Generation)
 		return p.at(m.lineBefore(k))
 	}
 	verb := "changes"
 	if b == nil {
 		verb = "adds"
 	}
-	p := problemf(code.RuleConflictChange, "%s %s, which was changed after generation %d", verb, name, m.base.file.Generation)
+	p := problemf(code.RuleConflictChange, "%s %s, which has changed since generation %d", verb, name, m.base.file.Generation)
 	return p.at(s.number)
 }
 
@@ -110,8 +111,8 @@
 	return "Host=" + id.Host + " Path=" + id.Path + " Method=" + id.Method
 }
 
-// lineBefore returns the line number of the submitted line that stands before
-// the place of a removed one.
+// lineBefore returns the number of the last submitted line before the position of
+// a removed line, or 1 if there is none.
 func (m merger) lineBefore(k key) int {
 	for i := m.base.at[k] - 1; i >= 0; i-- {
 		if s := m.submitted.line(m.base.keys[i]); s != nil {
@@ -121,9 +122,9 @@
 	return 1
 }
 
-// added returns the lines that only the submission has, by the position of the
-// accepted line that they follow, -1 for the start.
-func (m merger) added(kept []*line) (map[int][]line, []Problem) {
+// addedLines returns the lines that only the submission has, by the position of the
+// accepted line that they follow, -1 for the start of the file.
+func (m merger) addedLines(kept []*line) (map[int][]line, []Problem) {
 	added := make(map[int][]line)
 	var problems []Problem
 	after := -1
@@ -139,14 +140,15 @@
 		case b == nil:
 			added[after] = append(added[after], s)
 		case !equal(&s, b):
-			problem := problemf(code.RuleConflictRemoval, "changes %s, which was removed after generation %d", describe(k.id), m.base.file.Generation)
+			problem := problemf(code.RuleConflictRemoval, "changes %s, which was removed since generation %d", describe(k.id), m.base.file.Generation)
 			problems = append(problems, problem.at(s.number))
 		}
 	}
 	return added, problems
 }
 
-// equal reports whether two lines of the same key say the same.
+// equal reports whether two lines with the same key are equivalent: rules by their
+// fields, other lines by their text.
 func equal(a, b *line) bool {
 	if a == nil || b == nil {
 		return a == b
--- a/internal/control/rule/parse.go
+++ b/internal/control/rule/parse.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// MaxFileBytes is the size of the largest rules file, with its header.
+	// MaxFileBytes is the maximum size of a rules file, including its header.
 	MaxFileBytes = 1 << 20
-	// MaxLineBytes is the length of the longest line.
+	// MaxLineBytes is the maximum length of a line.
 	MaxLineBytes = 4096
 )
 
 const byteOrderMark = "\ufeff"
 
-// Parse reads a rules file and returns every mistake in it, in the order of the
-// lines. The File holds the lines without a mistake.
+// Parse parses a rules file and returns every error in it, in line order. The File
+// holds the lines without errors.
 //
-// Header lines of Rules/Accepted and Rules/InForce are passed over, so that an
-// operator may edit and submit what was read back.
+// Header lines of Rules/Accepted and Rules/InForce are skipped, so that an operator
+// can edit and submit a file that was read from there.
 func Parse(text string) (File, []Problem) {
 	p := parser{seen: make(map[ID]int)}
 	if len(text) > MaxFileBytes {
 		return File{}, []Problem{problemf(code.RuleTooLarge, "got %d bytes, want at most %d", len(text), MaxFileBytes).at(1)}
 	}
 	if rest, ok := strings.CutPrefix(text, byteOrderMark); ok {
-		p.add(1, problemf(code.RuleBadEncoding, "file starts with a byte order mark, want plain UTF-8"))
+		p.addProblem(1, problemf(code.RuleBadEncoding, "file starts with a byte order mark, want plain UTF-8"))
 		text = rest
 	}
 	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
@@ -37,7 +37,7 @@
 		lines = nil
 	}
 	for i, s := range lines {
-		p.line(i+1, strings.TrimSpace(s))
+		p.parseLine(i+1, strings.TrimSpace(s))
 	}
 	return p.file, p.problems
 }
@@ -45,24 +45,24 @@
 type parser struct {
 	file     File
 	problems []Problem
-	// seen maps the rules so far to their lines.
+	// seen maps the rules parsed so far to their line numbers.
 	seen map[ID]int
 }
 
-func (p *parser) add(number int, problem Problem) {
+func (p *parser) addProblem(number int, problem Problem) {
 	p.problems = append(p.problems, problem.at(number))
 }
 
-// generation takes the number of a Generation line.
-func (p *parser) generation(number int, text string) {
+// parseGeneration parses the number of a Generation line.
+func (p *parser) parseGeneration(number int, text string) {
 	n, ok := parseNumber(text)
 	switch {
 	case !ok:
-		p.add(number, problemf(code.RuleBadGeneration, "got generation %q, want a number from 0", text))
+		p.addProblem(number, problemf(code.RuleBadGeneration, "got generation %q, want a whole number of at least 0", text))
 	case p.file.HasGeneration:
-		p.add(number, problemf(code.RuleBadGeneration, "second Generation line, want one"))
+		p.addProblem(number, problemf(code.RuleBadGeneration, "duplicate Generation line, want one"))
 	case len(p.file.lines) > 0:
-		p.add(number, problemf(code.RuleBadGeneration, "Generation line below other lines, want it first"))
+		p.addProblem(number, problemf(code.RuleBadGeneration, "Generation line after other lines, want it first"))
 	default:
 		p.file.Generation, p.file.HasGeneration = n, true
 	}
@@ -73,37 +73,37 @@
 	return n, err == nil && n >= 0
 }
 
-// line takes one line without the space around it.
-func (p *parser) line(number int, s string) {
+// parseLine parses one line, which is trimmed of surrounding white space.
+func (p *parser) parseLine(number int, s string) {
 	if problem := checkText(s); problem.Code != code.OK {
-		p.add(number, problem)
+		p.addProblem(number, problem)
 		return
 	}
 	if text, ok := strings.CutPrefix(s, generationPrefix); ok {
-		p.generation(number, text)
+		p.parseGeneration(number, text)
 		return
 	}
-	if isHeader(s) {
+	if isHeaderLine(s) {
 		return
 	}
 	if s == "" || strings.HasPrefix(s, "#") {
 		p.file.lines = append(p.file.lines, line{text: s, number: number})
 		return
 	}
-	p.rule(number, s)
+	p.parseRuleLine(number, s)
 }
 
-// rule takes a line that is neither empty nor a comment.
-func (p *parser) rule(number int, s string) {
+// parseRuleLine parses a line that is neither empty nor a comment.
+func (p *parser) parseRuleLine(number int, s string) {
 	r, problems := parseRule(s)
 	for _, problem := range problems {
-		p.add(number, problem)
+		p.addProblem(number, problem)
 	}
 	if len(problems) > 0 {
 		return
 	}
 	if first, ok := p.seen[r.ID()]; ok {
-		p.add(number, problemf(code.RuleDuplicate, "same Host, Path and Method as line %d", first))
+		p.addProblem(number, problemf(code.RuleDuplicate, "duplicate of line %d, with the same Host, Path and Method or the same declaration", first))
 		return
 	}
 	p.seen[r.ID()] = number
@@ -117,18 +117,18 @@
 		return problemf(code.RuleLineTooLong, "got %d bytes, want at most %d in a line", len(s), MaxLineBytes)
 	case !utf8.ValidString(s):
 		return problemf(code.RuleBadEncoding, "line is not valid UTF-8")
-	case strings.ContainsFunc(s, isForbidden):
+	case strings.ContainsFunc(s, isForbiddenRune):
 		return problemf(code.RuleBadEncoding, "line contains a control character or a byte order mark")
 	default:
 		return Problem{}
 	}
 }
 
-func isForbidden(c rune) bool {
+func isForbiddenRune(c rune) bool {
 	return c != '\t' && unicode.IsControl(c) || c == '\ufeff'
 }
 
-// parseRule parses a rule and returns every mistake in it.
+// parseRule parses a rule and returns every error in it.
 func parseRule(s string) (Rule, []Problem) {
 	fields, who, _ := strings.Cut(s, "#")
 	r := Rule{Who: strings.TrimSpace(who)}
@@ -140,25 +140,26 @@
 		}
 	}
 	problems = append(problems, checkFields(seen)...)
-	if !namesWho(r.Who) {
-		problems = append(problems, problemf(code.RuleNoWho, "rule has no comment that names who asked and why, want # Who: why"))
+	if !namesRequester(r.Who) {
+		problems = append(problems, problemf(code.RuleNoWho, "rule has no comment that names who requested it and why, want # Who: why"))
 	}
 	return r, problems
 }
 
-// Fields of the three kinds of lines besides Path and Service.
+// Fields of routing rules and of service declarations, besides Path and Service.
 var (
 	routeFields   = []string{"Host", "Method", "Deadline", "Repeat", "Attempts", "Target", "Priority"} //nolint:gochecknoglobals // a table
 	serviceFields = []string{"Probe", "Connections"}                                                   //nolint:gochecknoglobals // a table
 )
 
-// checkFields returns what is missing in a line, and what does not belong there.
+// checkFields returns problems for the fields that a line lacks, and for those that
+// its kind of line does not allow.
 func checkFields(seen map[string]bool) []Problem {
-	unfit := func(names []string, kind string) []Problem {
+	disallowed := func(names []string, kind string) []Problem {
 		var problems []Problem
 		for _, name := range names {
 			if seen[name] {
-				problems = append(problems, problemf(code.RuleSyntax, "field %s does not belong in a line that %s", name, kind))
+				problems = append(problems, problemf(code.RuleSyntax, "field %s is not allowed in a line that %s", name, kind))
 			}
 		}
 		return problems
@@ -168,7 +169,7 @@
 	case seen["Idle"] && len(seen) == 1:
 		return nil
 	case declares && !seen["Path"] && seen["Service"]:
-		return unfit(append([]string{"Idle"}, routeFields...), "declares a service")
+		return disallowed(append([]string{"Idle"}, routeFields...), "declares a service")
 	}
 	var problems []Problem
 	for _, name := range []string{"Path", "Service"} {
@@ -176,7 +177,7 @@
 			problems = append(problems, problemf(code.RuleMissingField, "rule has no %s", name))
 		}
 	}
-	return append(problems, unfit(append([]string{"Idle"}, serviceFields...), "routes requests")...)
+	return append(problems, disallowed(append([]string{"Idle"}, serviceFields...), "routes requests")...)
 }
 
 func parseField(r *Rule, seen map[string]bool, field string) Problem {
@@ -185,15 +186,15 @@
 		return problemf(code.RuleSyntax, "got %q, want Name=Value", field)
 	}
 	if seen[name] {
-		return problemf(code.RuleRepeatedField, "field %s stands twice", name)
+		return problemf(code.RuleRepeatedField, "duplicate field %s", name)
 	}
 	seen[name] = true
 	return setField(r, name, value)
 }
 
-// namesWho reports whether a comment has the form "Who: why". The full-width
-// colon of Chinese keyboards is as good.
-func namesWho(comment string) bool {
+// namesRequester reports whether a comment has the form "Who: why". The full-width colon
+// that Chinese input methods produce is accepted as well.
+func namesRequester(comment string) bool {
 	comment = strings.ReplaceAll(comment, "：", ":")
 	who, why, ok := strings.Cut(comment, ":")
 	return ok && strings.TrimSpace(who) != "" && strings.TrimSpace(why) != ""
--- a/internal/control/rule/problem.go
+++ b/internal/control/rule/problem.go
@@ -6,27 +6,27 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/code"
 )
 
-// Problem is one mistake in a rules file, or one conflict of a submission.
+// Problem is one error in a rules file, or one conflict in a submission.
 type Problem struct {
-	// Line is the line number in the submitted file, from 1. For a rule that the
-	// submission removed it is the line of the last rule or comment before it.
+	// Line is the line number in the submitted file, from 1. If the submission
+	// removed a rule, it is the line of the last remaining line before that rule.
 	Line int
 	// Code is the result code.
 	Code code.Code
-	// Text says what is wrong.
+	// Text describes the error.
 	Text string
 }
 
-// String returns the problem as operators read it.
+// String returns the problem as text for operators.
 func (p Problem) String() string {
 	return fmt.Sprintf("Code %d Line %d %s", int(p.Code), p.Line, p.Text)
 }
 
-// Refusal is a Problem for which a submission, or a part of it, was refused.
+// Refusal is a Problem that caused a submission, or a part of it, to be refused.
 type Refusal struct {
 	// Submission is the store's version of the submission.
 	Submission int64
-	// Problem says what was refused and why.
+	// Problem states what was refused and why.
 	Problem Problem
 }
 
--- a/internal/control/rule/rule.go
+++ b/internal/control/rule/rule.go
@@ -9,59 +9,61 @@
 	"mustardsaddle.example/mustardsaddle"
 )
 
-// Rule is one line of the rules file that is no comment. A line with a Path routes
-// requests; one with a Service alone declares how the servers of that service are
-// used; one with Idle alone bounds callers' connections. A Rule is immutable and
-// comparable.
+// Rule is one line of the rules file that is neither empty nor a comment. A line
+// with a Path routes requests; one with a Service but no Path configures the servers
+// of that service; one with only Idle sets the idle timeout of callers' connections.
+// A Rule is immutable and comparable.
 type Rule struct {
-	// Host is the host that the request must name, in lower case; empty for any.
+	// Host is the request host to match, in lower case; empty matches any host.
 	Host string
-	// Path is the path, or a pattern with {Name} segments and a final *.
+	// Path is a literal path, or a pattern with {Name} segments and a final *.
 	Path string
-	// Method is the method; empty for any.
+	// Method is the request method to match; empty matches any method.
 	Method string
-	// Service is the service that answers, or several with their weights in the
-	// form A:90,B:10.
+	// Service is the service that requests are routed to, or several weighted
+	// services in the form A:90,B:10.
 	Service string
-	// Deadline bounds the whole call; 0 means the gateway's default.
+	// Deadline is the time limit of the whole call; 0 means the gateway's default.
 	Deadline time.Duration
-	// Repeat says whether the request may be sent more than once.
+	// Repeat tells whether the request may be sent more than once.
 	Repeat mustardsaddle.Repeat
 	// RepeatSet is true when the line states Repeat.
 	RepeatSet bool
-	// Attempts bounds the servers to which one request is sent; 0 means the
-	// gateway's default.
+	// Attempts is the maximum number of servers that one request is sent to; 0
+	// means the gateway's default.
 	Attempts int
-	// Target is the time within which an answer is worth most; 0 if not stated.
+	// Target is the target latency, within which a response has its full value; 0 if
+	// not stated.
 	Target time.Duration
-	// Priority is the rank of the request, of which 0 is the highest.
+	// Priority is the priority of the request; 0 is the highest.
 	Priority int
-	// Probe is the path where the servers of a declared service tell their load.
+	// Probe is the load probe path on the servers of a declared service.
 	Probe string
-	// Connections is how many connections a server of a declared service accepts
-	// from all gateways together; 0 if not stated.
+	// Connections is the maximum number of connections that one server of a
+	// declared service accepts from all gateways combined; 0 if not stated.
 	Connections int
-	// Idle is how long a caller's connection is kept without a request.
+	// Idle is the idle timeout of callers' connections.
 	Idle time.Duration
-	// Who is the comment that names who asked for the rule, and why.
+	// Who is the comment that names who requested the rule, and why.
 	Who string
 }
 
-// Routes reports whether the rule routes requests.
+// Routes reports whether the rule routes requests, as opposed to declaring a
+// service or the idle timeout.
 func (r Rule) Routes() bool {
 	return r.Path != ""
 }
 
-// ID identifies a rule over all generations: two rules with the same ID match
-// the same requests.
+// ID identifies a rule across generations: two routing rules with the same ID
+// match the same requests.
 type ID struct {
 	// Host is the rule's host.
 	Host string
-	// Path is the rule's path, with the names of its patterns left out.
+	// Path is the rule's path, with the names of its parameters removed.
 	Path string
 	// Method is the rule's method.
 	Method string
-	// Service is the service that the rule declares; empty for a rule that routes.
+	// Service is the service that the rule declares; empty for a routing rule.
 	Service string
 }
 
@@ -70,28 +72,29 @@
 	if !r.Routes() {
 		return ID{Service: r.Service}
 	}
-	return ID{Host: r.Host, Path: withoutNames(r.Path), Method: r.Method}
+	return ID{Host: r.Host, Path: stripParamNames(r.Path), Method: r.Method}
 }
 
-// withoutNames replaces each {Name} by {}.
-func withoutNames(path string) string {
+// stripParamNames replaces each {Name} segment with {}.
+func stripParamNames(path string) string {
 	if !strings.Contains(path, "{") {
 		return path
 	}
 	segments := strings.Split(path, "/")
 	for i, segment := range segments {
-		if isPattern(segment) {
+		if isParam(segment) {
 			segments[i] = "{}"
 		}
 	}
 	return strings.Join(segments, "/")
 }
 
-func isPattern(segment string) bool {
+func isParam(segment string) bool {
 	return strings.HasPrefix(segment, "{")
 }
 
-// RepeatOf returns whether a request with the given method may be repeated.
+// RepeatOf returns the retry policy of a request with the given method. Without an
+// explicit Repeat only GET, HEAD and OPTIONS may be repeated.
 func (r Rule) RepeatOf(method string) mustardsaddle.Repeat {
 	if r.RepeatSet {
 		return r.Repeat
@@ -116,49 +119,50 @@
 	field("Path", r.Path)
 	field("Method", r.Method)
 	field("Service", r.Service)
-	field("Deadline", period(r.Deadline))
+	field("Deadline", formatDuration(r.Deadline))
 	if r.RepeatSet {
 		field("Repeat", repeatName(r.Repeat))
 	}
-	field("Attempts", number(r.Attempts))
-	field("Target", period(r.Target))
-	field("Priority", number(r.Priority))
+	field("Attempts", formatInt(r.Attempts))
+	field("Target", formatDuration(r.Target))
+	field("Priority", formatInt(r.Priority))
 	field("Probe", r.Probe)
-	field("Connections", number(r.Connections))
-	field("Idle", period(r.Idle))
+	field("Connections", formatInt(r.Connections))
+	field("Idle", formatDuration(r.Idle))
 	b.WriteString("# " + r.Who)
 	return b.String()
 }
 
-// number returns the text of a field that is left out when it is 0.
-func number(n int) string {
+// formatInt returns n as text, or "" for 0, so that the field is omitted.
+func formatInt(n int) string {
 	if n == 0 {
 		return ""
 	}
 	return strconv.Itoa(n)
 }
 
-// period returns the text of a time that is left out when it is 0.
-func period(d time.Duration) string {
+// formatDuration returns d as text, or "" for 0, so that the field is omitted.
+func formatDuration(d time.Duration) string {
 	if d == 0 {
 		return ""
 	}
 	return d.String()
 }
 
-// compare orders rules by which one wins when both match: negative if r does.
+// compare orders rules by precedence: negative if r wins when both match.
 func (r Rule) compare(other Rule) int {
 	if r.Host != other.Host {
-		return compareNamed(r.Host, other.Host)
+		return compareOptional(r.Host, other.Host)
 	}
 	if c := comparePaths(r.Path, other.Path); c != 0 {
 		return c
 	}
-	return compareNamed(r.Method, other.Method)
+	return compareOptional(r.Method, other.Method)
 }
 
-// compareNamed puts a stated value before an empty one, and HEAD before GET.
-func compareNamed(a, b string) int {
+// compareOptional sorts in descending order, which puts a stated value before an
+// empty one, and HEAD before GET.
+func compareOptional(a, b string) int {
 	return strings.Compare(b, a)
 }
 
@@ -176,12 +180,12 @@
 	return len(a) - len(b)
 }
 
-// segmentRank orders the kinds of segments: literal, {Name}, final *.
+// segmentRank orders the kinds of segments by precedence: literal, {Name}, final *.
 func segmentRank(segment string) int {
 	switch {
 	case segment == "*":
 		return 2
-	case isPattern(segment):
+	case isParam(segment):
 		return 1
 	default:
 		return 0
--- a/internal/control/rule/split.go
+++ b/internal/control/rule/split.go
@@ -9,31 +9,31 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/code"
 )
 
-// maxWeight bounds the weight of one service.
+// maxWeight is the upper limit of the weight of one service.
 const maxWeight = 1e6
 
-// Part is one service of a Split.
+// Part is one weighted service of a Split.
 type Part struct {
 	// Service is the name of the service.
 	Service string
-	// Weight is its share of the requests relative to the others.
+	// Weight is its share of the requests, relative to the sum of all weights.
 	Weight float64
 }
 
-// Split divides the requests of a rule among services by weight. A Split is
+// Split distributes the requests of a rule among services by weight. A Split is
 // immutable.
 type Split struct {
 	parts []Part
 	total float64
 }
 
-// Parts returns the services in the order of the rule. The slice must not be
-// changed.
+// Parts returns the services in the order of the rule. Callers must not modify the
+// slice.
 func (s Split) Parts() []Part {
 	return s.parts
 }
 
-// Pick draws the service of one request.
+// Pick selects the service of one request at random, by weight.
 func (s Split) Pick(rng *rand.Rand) string {
 	if len(s.parts) == 1 {
 		return s.parts[0].Service
@@ -48,7 +48,8 @@
 	return s.heaviest()
 }
 
-// heaviest is the answer when rounding leaves no part. It never has the weight 0.
+// heaviest returns the service with the highest weight, which is never 0. It is the
+// fallback when rounding leaves Pick without a service.
 func (s Split) heaviest() string {
 	var best Part
 	for _, p := range s.parts {
@@ -65,7 +66,7 @@
 	return s.parts
 }
 
-// parseSplit parses A, or A:90,B:10. A service without a weight must stand alone.
+// parseSplit parses A, or A:90,B:10. A service without a weight must be the only one.
 func parseSplit(value string) (Split, Problem) {
 	if !strings.Contains(value, ":") {
 		return Split{parts: []Part{{Service: value, Weight: 1}}, total: 1}, checkService(value)
@@ -79,7 +80,7 @@
 		}
 		w, err := strconv.ParseFloat(weight, 64)
 		if err != nil || math.IsNaN(w) || w < 0 || w > maxWeight || seen[name] {
-			return Split{}, problemf(code.RuleBadValue, "got Service=%s, want each service once with its weight, such as A:90,B:10", value)
+			return Split{}, problemf(code.RuleBadValue, "got Service=%s, want each service once, with its weight, such as A:90,B:10", value)
 		}
 		seen[name] = true
 		s.parts = append(s.parts, Part{Service: name, Weight: w})
--- a/internal/control/rule/split_test.go
+++ b/internal/control/rule/split_test.go
@@ -44,23 +44,23 @@
 			t.Errorf("%s: got code %v, want %v", c.line, got, c.want)
 		}
 		if c.want == code.OK && file.Rules()[0].String() != c.line && c.line != "Path=/a Service=A Priority=0 # Ana: plans" {
-			t.Errorf("got line %q, want %q", file.Rules()[0].String(), c.line)
+			t.Errorf("got formatted line %q, want %q", file.Rules()[0].String(), c.line)
 		}
 	}
 }
 
 func TestDeclarations(t *testing.T) {
-	convey.Convey("Given a file that declares a service and an idle time", t, func() {
+	convey.Convey("Given a file that declares a service and an idle timeout", t, func() {
 		file, problems := rule.Parse("Service=A Probe=/health Connections=220 # Ana: plans\nIdle=15s # Ana: plans\nPath=/a Service=A:3,B:1 # Ana: plans\n")
 		convey.So(problems, convey.ShouldBeEmpty)
 		table := rule.Compile(file)
-		convey.Convey("The table tells both, and nothing of other services", func() {
+		convey.Convey("The table has both, and only the name of an undeclared service", func() {
 			convey.So(table.Service("A").Probe, convey.ShouldEqual, "/health")
 			convey.So(table.Service("A").Connections, convey.ShouldEqual, 220)
 			convey.So(table.Service("B"), convey.ShouldResemble, rule.Rule{Service: "B"})
 			convey.So(table.Idle(), convey.ShouldEqual, 15*time.Second)
 		})
-		convey.Convey("Requests are divided by weight", func() {
+		convey.Convey("Requests are distributed by weight", func() {
 			split := table.Split(file.Rules()[2])
 			rng, picked := rand.New(rand.NewPCG(1, 2)), map[string]int{}
 			for range 4000 {
--- a/internal/control/rule/table.go
+++ b/internal/control/rule/table.go
@@ -11,16 +11,16 @@
 
 // Table is a compiled rules file. It is immutable and safe for concurrent use.
 //
-// The rules are spread over small routers by their host and the literal beginning
-// of their path, since a router tries its routes one after another.
+// The rules are divided into buckets by host and literal path prefix, each with its
+// own router, because a router tries its routes sequentially.
 type Table struct {
 	// File is the rules file that was compiled.
 	File File
 
 	buckets map[bucketKey]*bucket
-	// splits are the parsed values of Service.
+	// splits maps the values of Service to their parsed form.
 	splits map[string]Split
-	// services are the rules that declare a service.
+	// services maps service names to the rules that declare them.
 	services map[string]Rule
 	idle     time.Duration
 }
@@ -30,8 +30,8 @@
 	return t.splits[r.Service]
 }
 
-// Service returns what the file declares about a service: nothing but its name if
-// it has no such line.
+// Service returns the declaration of a service, or a Rule with only its name if the
+// file does not declare it.
 func (t *Table) Service(name string) Rule {
 	if declared, ok := t.services[name]; ok {
 		return declared
@@ -39,36 +39,36 @@
 	return Rule{Service: name}
 }
 
-// Idle returns how long a caller's connection is kept without a request, or 0 if
-// the file does not say.
+// Idle returns the idle timeout of callers' connections, or 0 if the file does not
+// state it.
 func (t *Table) Idle() time.Duration {
 	return t.idle
 }
 
-// maxDepth is how many segments of a path choose a router.
+// maxDepth is the maximum number of path segments in a bucket's prefix.
 const maxDepth = 4
 
-// bucketKey says which requests a bucket may match.
+// bucketKey identifies a bucket by the requests that its rules may match.
 type bucketKey struct {
 	host string
-	// prefix is the beginning of the path, of up to maxDepth literal segments.
+	// prefix is the path prefix, of up to maxDepth literal segments.
 	prefix string
 }
 
-// bucket holds the rules of one bucketKey, the most specific first.
+// bucket holds the rules of one bucketKey, most specific first, and their router.
 type bucket struct {
 	rules  []*Rule
 	routes []*mux.Route
 	router *mux.Router
 }
 
-// Compile builds the table of a rules file.
+// Compile builds the routing table of a rules file.
 func Compile(file File) *Table {
 	return (&Table{}).Next(file)
 }
 
-// Next returns the table of another file. Parts whose rules are the same are
-// shared with t.
+// Next builds the routing table of another file. Buckets whose rules are unchanged
+// are shared with t.
 func (t *Table) Next(file File) *Table {
 	rules := make(map[bucketKey][]*Rule)
 	next := &Table{File: file, splits: make(map[string]Split), services: make(map[string]Rule)}
@@ -87,9 +87,9 @@
 	next.buckets = make(map[bucketKey]*bucket, len(rules))
 	for k, bucketRules := range rules {
 		slices.SortFunc(bucketRules, func(a, b *Rule) int { return a.compare(*b) })
-		old := t.buckets[k]
-		if old != nil && slices.EqualFunc(old.rules, bucketRules, sameRule) {
-			next.buckets[k] = old
+		previous := t.buckets[k]
+		if previous != nil && slices.EqualFunc(previous.rules, bucketRules, sameRule) {
+			next.buckets[k] = previous
 			continue
 		}
 		next.buckets[k] = newBucket(bucketRules)
@@ -97,7 +97,7 @@
 	return next
 }
 
-// declare takes a rule that routes nothing.
+// declare adds a rule that declares a service or the idle timeout.
 func (t *Table) declare(r Rule) {
 	if r.Service == "" {
 		t.idle = r.Idle
@@ -119,8 +119,8 @@
 	return bucketKey{host: r.Host}
 }
 
-// prefixes returns the beginnings of a path of up to maxDepth whole segments, the
-// longest first, and then empty ones.
+// prefixes returns the prefixes of a path of up to maxDepth whole segments, longest
+// first; the remaining elements are empty.
 func prefixes(path string) [maxDepth + 1]string {
 	var list [maxDepth + 1]string
 	depth, end := 0, 0
@@ -140,7 +140,8 @@
 func newBucket(rules []*Rule) *bucket {
 	b := &bucket{rules: rules, router: mux.NewRouter()}
 	for _, r := range rules {
-		// The router forgets a mismatch of methods only for a route with a handler.
+		// mux clears an earlier method mismatch only if the route that matches has a
+		// handler.
 		route := b.router.NewRoute().Handler(http.NotFoundHandler())
 		setPath(route, r.Path)
 		if r.Method != "" {
@@ -151,8 +152,9 @@
 	return b
 }
 
-// setPath sets the path of a route. Only {Name} needs the router's templates,
-// which hold compiled expressions of several kilobytes; other paths are compared.
+// setPath sets the path matcher of a route. Only a path with {Name} uses a template
+// of the router, which holds compiled regular expressions of several kilobytes; other
+// paths use a string comparison.
 func setPath(route *mux.Route, path string) {
 	prefix, isPrefix := strings.CutSuffix(path, "*")
 	switch {
@@ -171,7 +173,7 @@
 	}
 }
 
-// methods returns the methods that a rule with a Method covers.
+// methods returns the request methods that a rule with a Method matches.
 func (r Rule) methods() []string {
 	if r.Method == http.MethodGet {
 		return []string{http.MethodGet, http.MethodHead}
@@ -179,9 +181,9 @@
 	return []string{r.Method}
 }
 
-// Match returns the most specific rule that matches the request. A path with a
-// . or .. segment matches none, since a server might resolve it to another path
-// than the one that the rule is about.
+// Match returns the most specific rule that matches the request. A path with a . or
+// .. segment matches no rule, because a server might resolve it to a path that the
+// rule does not cover.
 func (t *Table) Match(r *http.Request) (Rule, bool) {
 	if hasDotSegment(r.URL.Path) {
 		return Rule{}, false
@@ -198,8 +200,8 @@
 	return Rule{}, false
 }
 
-// bucketsOf returns the buckets that may match a request, the most specific first,
-// and then nil.
+// bucketsOf returns the buckets that may match a request, most specific first; the
+// remaining elements are nil.
 func (t *Table) bucketsOf(r *http.Request) [2 * (maxDepth + 1)]*bucket {
 	var found [2 * (maxDepth + 1)]*bucket
 	n := 0
@@ -219,7 +221,7 @@
 	return found
 }
 
-// hostName returns a request's host in lower case, without its port.
+// hostName returns the host of a request in lower case, without the port.
 func hostName(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
--- a/internal/control/rule/table_test.go
+++ b/internal/control/rule/table_test.go
@@ -49,7 +49,7 @@
 			found, ok := table.Match(r)
 			convey.So(found.Service, convey.ShouldEqual, test.want)
 			convey.So(ok, convey.ShouldEqual, test.want != "")
-			convey.Convey("Explain chooses the same rule", func() {
+			convey.Convey("Explain marks the same rule as chosen", func() {
 				steps := table.Explain(r)
 				chosen := ""
 				for _, s := range steps {
@@ -64,7 +64,7 @@
 }
 
 func TestExplainNamesLinesAndReasons(t *testing.T) {
-	convey.Convey("Given three rules of a path", t, func() {
+	convey.Convey("Given three rules that overlap on a path", t, func() {
 		table := rule.Compile(fileOf(1, "Path=/a/* Service=Rest # Tan: x", "# comment", "Path=/a/b Method=POST Service=Post # Tan: x", "Path=/a/b Service=Exact # Tan: x"))
 		steps := table.Explain(httptest.NewRequest(http.MethodGet, "http://h/a/b", nil))
 		convey.So(len(steps), convey.ShouldEqual, 3)
@@ -77,7 +77,7 @@
 	})
 }
 
-// matches says, without the router, whether a rule matches.
+// matches reports whether a rule matches, independently of the router.
 func matches(r rule.Rule, host, method, path string) bool {
 	if r.Host != "" && r.Host != host {
 		return false
@@ -112,14 +112,14 @@
 		found, ok := rule.Compile(file).Match(r)
 		other, _ := rule.Compile(genFile(t, 1)).Next(shuffled).Match(r)
 		if found != other {
-			t.Fatalf("got %v and, in another order of lines, %v", found, other)
+			t.Fatalf("got rule %v, and with another order of lines %v", found, other)
 		}
-		covered := false
+		anyMatches := false
 		for _, candidate := range file.Rules() {
-			covered = covered || matches(candidate, host, method, path)
+			anyMatches = anyMatches || matches(candidate, host, method, path)
 		}
-		if covered != ok || ok && !matches(found, host, method, path) {
-			t.Fatalf("got %v and %t, want a match: %t", found, ok, covered)
+		if anyMatches != ok || ok && !matches(found, host, method, path) {
+			t.Fatalf("got rule %v and match %t, want match %t", found, ok, anyMatches)
 		}
 	})
 }
