--- a/internal/base/settings/example.go
+++ b/internal/base/settings/example.go
@@ -5,26 +5,26 @@
 	"strings"
 )
 
-// exampleService is the service whose section the annotated example shows.
+// exampleService is the service section shown in the annotated example.
 const exampleService = servicePrefix + "Booking"
 
-// Example returns an annotated settings file that states every setting: the
-// required ones with an example, the others with their defaults.
+// Example returns an annotated settings file with every setting: required settings
+// have an example value, the others their defaults.
 func Example() string {
 	var b strings.Builder
-	b.WriteString("# Settings of a mustardsaddle gateway. Settings without \"required\" show their\n")
-	b.WriteString("# defaults and may be left out.\n")
+	b.WriteString("# Settings of a mustardsaddle gateway. Settings not marked as required show\n")
+	b.WriteString("# their defaults and may be omitted.\n")
 	section := ""
 	for _, info := range List() {
 		if info.Section != section {
 			section = info.Section
 			_, _ = fmt.Fprintf(&b, "\n[%s]\n", strings.Replace(section, sectionService, exampleService, 1))
 		}
-		need := ""
+		requirement := ""
 		if info.Required {
-			need = "Required. "
+			requirement = "Required. "
 		}
-		_, _ = fmt.Fprintf(&b, "# %s\n# %sWants %s.\n", info.Meaning, need, info.Want)
+		_, _ = fmt.Fprintf(&b, "# %s\n# %sAccepts %s.\n", info.Meaning, requirement, info.Want)
 		b.WriteString(strings.TrimSpace(info.Key+" = "+info.Example) + "\n")
 	}
 	return b.String()
--- a/internal/base/settings/layout.go
+++ b/internal/base/settings/layout.go
@@ -8,39 +8,40 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/code"
 )
 
-// layout is the shape of a settings file: where its sections and keys stand.
-// The INI library stops at the first line that it can't read and lets a second
-// key replace the first without a word, so the scan takes such lines out before
-// the library reads the rest.
+// layout holds the line numbers of the sections and keys of a settings file. The
+// INI library stops at the first line that it cannot parse, and lets a duplicate key
+// silently replace the first one, so scan removes such lines before the library
+// parses the rest.
 type layout struct {
-	// text is the file without the lines that have a problem.
+	// text is the file without comments, empty lines and rejected lines.
 	text string
-	// at holds the line number of each section and key.
-	at map[place]int
-	// problems are those of the lines taken out.
+	// lineNumbers maps each section and key to its line number.
+	lineNumbers map[location]int
+	// problems are the problems found by the scan.
 	problems []Problem
 
 	section string
-	// skipping is true within a section that was refused.
+	// skipping is true within a section that was rejected.
 	skipping bool
 }
 
-// place names a section, or a key in a section.
-type place struct {
+// location identifies a section, or a key in a section.
+type location struct {
 	section, key string
 }
 
-// line returns the line of a key, or else of its section, or 0.
+// line returns the line number of a key, or that of its section if the key has none,
+// or 0 if neither has one.
 func (l layout) line(section, key string) int {
-	if n := l.at[place{section, key}]; n > 0 {
+	if n := l.lineNumbers[location{section, key}]; n > 0 {
 		return n
 	}
-	return l.at[place{section: section}]
+	return l.lineNumbers[location{section: section}]
 }
 
 // scan finds the sections and keys of a settings file.
 func scan(text string) layout {
-	l := layout{at: make(map[place]int)}
+	l := layout{lineNumbers: make(map[location]int)}
 	var kept strings.Builder
 	for i, line := range strings.Split(strings.TrimPrefix(text, "\ufeff"), "\n") {
 		line = strings.TrimSpace(line)
@@ -55,7 +56,7 @@
 	return l
 }
 
-// keep tells whether the INI library may read a line.
+// keep reports whether the INI library may parse a line.
 func (l *layout) keep(n int, line string) bool {
 	if line[0] == '[' {
 		return l.keepSection(n, line)
@@ -72,19 +73,19 @@
 	comment := rest == "" || (rest[0] == '#' || rest[0] == ';') && !strings.Contains(rest, "]")
 	l.section, l.skipping = name, true
 	if !closed || name == "" || !comment {
-		l.add(code.SettingsSyntax, n, "", line, "a section such as [Gateway]")
+		l.addProblem(code.SettingsSyntax, n, "", line, "a section such as [Gateway]")
 		return false
 	}
 	if name == ini.DefaultSection {
-		l.add(code.SettingsUnknownSection, n, "", "an unknown section", "a section of docs/SETTINGS.md")
+		l.addProblem(code.SettingsUnknownSection, n, "", "an unknown section", "a section of docs/SETTINGS.md")
 		return false
 	}
 	l.skipping = false
-	if l.at[place{section: name}] > 0 {
-		l.add(code.SettingsDuplicate, n, "", "a second section of this name", "each section once")
+	if l.lineNumbers[location{section: name}] > 0 {
+		l.addProblem(code.SettingsDuplicate, n, "", "a duplicate section", "each section once")
 		return true
 	}
-	l.at[place{section: name}] = n
+	l.lineNumbers[location{section: name}] = n
 	return true
 }
 
@@ -94,19 +95,19 @@
 	value = strings.TrimSpace(value)
 	multiline := strings.HasPrefix(value, "`") || strings.HasPrefix(value, `"""`)
 	if !found || !isKey(key) || multiline {
-		l.add(code.SettingsSyntax, n, "", line, "Key = Value on one line, or a comment after #")
+		l.addProblem(code.SettingsSyntax, n, "", line, "Key = Value on one line, or a comment after #")
 		return false
 	}
 	if l.section == "" {
-		l.add(code.SettingsSyntax, n, key, "a key before any section", "a section such as [Gateway] first")
+		l.addProblem(code.SettingsSyntax, n, key, "a key before any section", "a section such as [Gateway] before it")
 		return false
 	}
-	at := place{l.section, key}
-	if l.at[at] > 0 {
-		l.add(code.SettingsDuplicate, n, key, "a second key of this name", "each key once in a section")
+	loc := location{l.section, key}
+	if l.lineNumbers[loc] > 0 {
+		l.addProblem(code.SettingsDuplicate, n, key, "a duplicate key", "each key once in a section")
 		return false
 	}
-	l.at[at] = n
+	l.lineNumbers[loc] = n
 	return true
 }
 
@@ -114,6 +115,6 @@
 	return isName(key) && !strings.ContainsAny(key, "-_")
 }
 
-func (l *layout) add(kind code.Code, n int, key, got, want string) {
+func (l *layout) addProblem(kind code.Code, n int, key, got, want string) {
 	l.problems = append(l.problems, Problem{Code: kind, Line: n, Section: l.section, Key: key, Got: got, Want: want})
 }
--- a/internal/base/settings/load.go
+++ b/internal/base/settings/load.go
@@ -13,29 +13,29 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/code"
 )
 
-// MaxFileBytes bounds a settings file.
+// MaxFileBytes is the maximum size of a settings file.
 const MaxFileBytes = 256 << 10
 
-// servicePrefix begins the name of a service's section.
+// servicePrefix is the prefix of the names of service sections.
 const servicePrefix = "Service "
 
-// Problem is one mistake in a settings file.
+// Problem is one error in a settings file.
 type Problem struct {
 	// Code is the result code.
 	Code code.Code
-	// Line is the line number from 1, or 0 if the mistake is on no line.
+	// Line is the line number from 1, or 0 if the error has no line.
 	Line int
-	// Section is the section, empty if the mistake concerns the whole file.
+	// Section is the section, empty if the error concerns the whole file.
 	Section string
-	// Key is the key, empty if the mistake concerns the section.
+	// Key is the key, empty if the error concerns the whole section.
 	Key string
-	// Got is what was found.
+	// Got describes what was found.
 	Got string
-	// Want is what is accepted.
+	// Want describes what is accepted.
 	Want string
 }
 
-// String returns the problem as one line for an operator.
+// String returns the problem as one line of text for operators.
 func (p Problem) String() string {
 	var b strings.Builder
 	if p.Line > 0 {
@@ -51,8 +51,8 @@
 	return b.String()
 }
 
-// Load reads a settings file over the defaults. If it returns any problem, the
-// settings must not be used.
+// Load reads a settings file and applies it to the defaults. If it returns any
+// problem, the settings must not be used.
 func Load(path string) (Settings, []Problem) {
 	text, err := read(path)
 	if err != nil {
@@ -62,8 +62,8 @@
 	return Parse(text)
 }
 
-// read reads a file up to its bound, so that a wrong path such as a device
-// can't fill the memory.
+// read reads at most one byte more than MaxFileBytes, so that a wrong path, such as
+// that of a device, cannot exhaust memory.
 func read(path string) (string, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -74,8 +74,8 @@
 	return string(text), err
 }
 
-// Parse reads the text of a settings file over the defaults, and returns every
-// mistake in it.
+// Parse parses the text of a settings file, applies it to the defaults, and returns
+// every error in it.
 func Parse(text string) (Settings, []Problem) {
 	if len(text) > MaxFileBytes {
 		return Settings{}, []Problem{{
@@ -83,7 +83,7 @@
 		}}
 	}
 	if !utf8.ValidString(text) || strings.ContainsRune(text, 0) {
-		return Settings{}, []Problem{{Code: code.SettingsSyntax, Got: "bytes that are not text", Want: "UTF-8 text"}}
+		return Settings{}, []Problem{{Code: code.SettingsSyntax, Got: "invalid UTF-8 or a NUL byte", Want: "UTF-8 text"}}
 	}
 	lines := scan(text)
 	file, err := ini.LoadSources(ini.LoadOptions{
@@ -96,105 +96,106 @@
 		return Settings{}, append(lines.problems, Problem{Code: code.SettingsSyntax, Got: err.Error(), Want: "an INI file"})
 	}
 	c := &checker{lines: lines, problems: lines.problems, settings: Default()}
-	c.file(file)
+	c.checkFile(file)
 	slices.SortStableFunc(c.problems, func(a, b Problem) int { return a.Line - b.Line })
 	return c.settings, c.problems
 }
 
-// checker fills settings from an INI file and collects the problems.
+// checker sets settings from an INI file and collects the problems.
 type checker struct {
 	lines    layout
 	settings Settings
 	problems []Problem
 }
 
-func (c *checker) file(file *ini.File) {
+func (c *checker) checkFile(file *ini.File) {
 	list := gatewayList()
 	for _, section := range sectionsOf(list) {
 		found, _ := file.GetSection(section)
-		check(c, section, found, inSection(list, section), &c.settings)
+		checkSection(c, section, found, inSection(list, section), &c.settings)
 	}
 	for _, section := range file.Sections() {
-		c.otherSection(section)
+		c.checkOtherSection(section)
 	}
-	c.relations()
+	c.checkConflicts()
 }
 
-// otherSection checks a section that isn't one of the gateway's own.
-func (c *checker) otherSection(section *ini.Section) {
+// checkOtherSection checks a section that is not one of gatewayList: a service
+// section, or an unknown one.
+func (c *checker) checkOtherSection(section *ini.Section) {
 	service, isService := strings.CutPrefix(section.Name(), servicePrefix)
 	switch {
 	case isService && isName(service):
-		c.service(section, service)
+		c.checkService(section, service)
 	case isService:
-		c.add(code.SettingsBadValue, section.Name(), "", "a bad service name",
+		c.addProblem(code.SettingsBadValue, section.Name(), "", "an invalid service name",
 			fmt.Sprintf("[Service NAME] with 1 to %d letters, digits, - or _", maxNameBytes))
 	case section.Name() == ini.DefaultSection:
-		// The scan keeps keys outside sections out of the file.
+		// The scan has removed keys outside of sections.
 	case len(inSection(gatewayList(), section.Name())) == 0:
-		c.add(code.SettingsUnknownSection, section.Name(), "", "an unknown section",
+		c.addProblem(code.SettingsUnknownSection, section.Name(), "", "an unknown section",
 			"one of "+strings.Join(sectionsOf(gatewayList()), ", ")+", "+sectionService)
 	}
 }
 
-func (c *checker) service(section *ini.Section, service string) {
+func (c *checker) checkService(section *ini.Section, service string) {
 	v := defaultService(service)
-	check(c, section.Name(), section, serviceList(), &v)
+	checkSection(c, section.Name(), section, serviceList(), &v)
 	if v.NotRunHeader != "" && v.NotRunStatus == 0 {
-		c.add(code.SettingsConflict, section.Name(), "NotRunHeader", "a header without NotRunStatus",
-			"a NotRunStatus that the header comes with")
+		c.addProblem(code.SettingsConflict, section.Name(), "NotRunHeader", "a header without NotRunStatus",
+			"a NotRunStatus that the header accompanies")
 	}
 	if v.NotRunHeader == "" && v.NotRunStatus > 0 {
-		c.add(code.SettingsConflict, section.Name(), "NotRunStatus", "a status without NotRunHeader",
+		c.addProblem(code.SettingsConflict, section.Name(), "NotRunStatus", "a status without NotRunHeader",
 			"a NotRunHeader, because other parties may send the status as well")
 	}
 	c.settings = c.settings.WithService(v)
 }
 
-// relations checks settings against each other.
-func (c *checker) relations() {
+// checkConflicts checks settings against each other.
+func (c *checker) checkConflicts() {
 	s := c.settings
 	if s.Peers.Silent <= s.Peers.Heartbeat {
-		c.add(code.SettingsConflict, sectionPeers, "Silent", s.Peers.Silent.String(),
+		c.addProblem(code.SettingsConflict, sectionPeers, "Silent", s.Peers.Silent.String(),
 			"more than Heartbeat, which is "+s.Peers.Heartbeat.String())
 	}
 	g := s.Gateway
-	if same(g.Listen, g.Admin) {
-		c.add(code.SettingsConflict, sectionGateway, "Admin", g.Admin, "an address other than Listen")
+	if conflicting(g.Listen, g.Admin) {
+		c.addProblem(code.SettingsConflict, sectionGateway, "Admin", g.Admin, "an address other than Listen")
 	}
 	key := "Peer"
 	if g.PeerListen != "" {
 		key = "PeerListen"
 	}
-	if links := g.LinkAddress(); same(g.Listen, links) || same(g.Admin, links) {
-		c.add(code.SettingsConflict, sectionGateway, key, links, "an address other than Listen and Admin")
+	if links := g.LinkAddress(); conflicting(g.Listen, links) || conflicting(g.Admin, links) {
+		c.addProblem(code.SettingsConflict, sectionGateway, key, links, "an address other than Listen and Admin")
 	}
 }
 
-// same tells whether two addresses can't both be listened on.
-func same(a, b string) bool {
+// conflicting reports whether two addresses cannot both be listened on.
+func conflicting(a, b string) bool {
 	return a == b && !strings.HasSuffix(a, ":0")
 }
 
-func (c *checker) add(kind code.Code, section, key, got, want string) {
+func (c *checker) addProblem(kind code.Code, section, key, got, want string) {
 	c.problems = append(c.problems, Problem{
 		Code: kind, Line: c.lines.line(section, key), Section: section, Key: key, Got: got, Want: want,
 	})
 }
 
-// check sets the target from the keys of one section; found is nil if the file
-// doesn't have it.
-func check[T any](c *checker, section string, found *ini.Section, list []setting[T], target *T) {
-	stated := make(map[string]bool)
+// checkSection sets target from the keys of one section. found is nil if the file does
+// not have the section.
+func checkSection[T any](c *checker, section string, found *ini.Section, list []setting[T], target *T) {
+	present := make(map[string]bool)
 	if found != nil {
 		for _, key := range found.Keys() {
-			stated[key.Name()] = true
+			present[key.Name()] = true
 			checkKey(c, section, key, list, target)
 		}
 	}
 	for _, item := range list {
-		if item.Required && !stated[item.Key] {
-			c.add(code.SettingsMissing, section, item.Key, "nothing", item.Want)
+		if item.Required && !present[item.Key] {
+			c.addProblem(code.SettingsMissing, section, item.Key, "nothing", item.Want)
 		}
 	}
 }
@@ -207,14 +208,14 @@
 			continue
 		}
 		if !item.set(target, key.Value()) {
-			c.add(code.SettingsBadValue, section, item.Key, fmt.Sprintf("%q", key.Value()), item.Want)
+			c.addProblem(code.SettingsBadValue, section, item.Key, fmt.Sprintf("%q", key.Value()), item.Want)
 		}
 		return
 	}
-	c.add(code.SettingsUnknownKey, section, key.Name(), "an unknown key", "one of "+strings.Join(names, ", "))
+	c.addProblem(code.SettingsUnknownKey, section, key.Name(), "an unknown key", "one of "+strings.Join(names, ", "))
 }
 
-// sectionsOf returns the sections of a list, each once and in order.
+// sectionsOf returns the distinct sections of a list, in order.
 func sectionsOf(list []setting[Settings]) []string {
 	var sections []string
 	for _, item := range list {
--- a/internal/base/settings/seed_test.go
+++ b/internal/base/settings/seed_test.go
@@ -2,6 +2,6 @@
 
 import "flag"
 
-// Each run draws the same cases, so that the verdict never changes by itself; a
-// -rapid.seed on the command line comes later and wins.
+// init fixes the seed of rapid, so that every run draws the same cases and gives the
+// same result. A -rapid.seed flag is parsed later and overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/internal/base/settings/settings.go
+++ b/internal/base/settings/settings.go
@@ -1,11 +1,12 @@
-// Package settings reads and checks the INI settings of a gateway. Every
-// setting is described once, in list.go; the defaults, the check, the annotated
-// example and the table in docs/SETTINGS.md all follow from that description.
+// Package settings parses and validates the INI settings file of a gateway. Each
+// setting is defined once, in list.go; the defaults, the validation, the annotated
+// example and the table in docs/SETTINGS.md are derived from that definition.
 //
-// A settings file is refused as a whole if it has one mistake. Every mistake is
-// listed, each with its line, section, key, what was found, what is wanted and
-// a result code, so that an operator mends the file in one go. Unknown sections
-// and keys are mistakes: a misspelt key never silently leaves a default.
+// A settings file with any error is rejected as a whole. All errors are reported,
+// each with its line, section, key, the value found, the values accepted and a
+// result code, so that an operator can fix the file in one pass. Unknown sections
+// and keys are errors, so that a misspelled key never silently leaves a default in
+// place.
 //
 // # Usage
 //
@@ -24,33 +25,33 @@
 )
 
 // Settings are the settings of one gateway. A Settings is immutable; the With
-// methods return changed copies.
+// methods return modified copies.
 type Settings struct {
-	// Gateway identifies this gateway and its addresses.
+	// Gateway holds the identity and the addresses of this gateway.
 	Gateway Gateway
-	// Platform says how to reach the platform.
+	// Platform configures the access to the platform.
 	Platform Platform
-	// Measuring is the agreed budget of load probes.
+	// Measuring is the budget of load probes.
 	Measuring Measuring
-	// Peers says how gateways keep links with each other.
+	// Peers configures the links between gateways.
 	Peers Peers
-	// Stop says how a graceful stop goes.
+	// Stop configures the graceful shutdown.
 	Stop Stop
-	// Limits bound what a caller may send and how long a call may take.
+	// Limits are limits on the size, duration and queueing of calls.
 	Limits Limits
-	// Retry bounds the attempts that the gateway adds to a call.
+	// Retry limits retries and hedges.
 	Retry Retry
-	// Choice says how a server is chosen for an attempt.
+	// Choice configures the selection of a server for an attempt.
 	Choice Choice
-	// Headers name what callers and servers say in headers.
+	// Headers configures the headers exchanged with callers and servers.
 	Headers Headers
-	// Log says what is logged.
+	// Log configures logging.
 	Log Log
 
 	services []Service
 }
 
-// Gateway identifies this gateway and its addresses.
+// Gateway holds the identity and the addresses of this gateway.
 type Gateway struct {
 	Name        string
 	Zone        string
@@ -69,8 +70,8 @@
 	return g.Peer
 }
 
-// Platform says how to reach the platform. The rates are those of the whole
-// fleet of gateways.
+// Platform configures the access to the platform. Its rates are shared by all
+// gateways.
 type Platform struct {
 	URL             string
 	Kind            string
@@ -82,7 +83,7 @@
 	WritesPerSecond float64
 }
 
-// Measuring is the agreed budget of load probes.
+// Measuring is the agreed budget of load probes, and their path.
 type Measuring struct {
 	MessagesPerSecond float64
 	BytesPerSecond    float64
@@ -90,7 +91,7 @@
 	Path              string
 }
 
-// Peers says how gateways keep links with each other.
+// Peers configures the links between gateways.
 type Peers struct {
 	Seeds     []string
 	Across    int
@@ -98,13 +99,13 @@
 	Silent    time.Duration
 }
 
-// Stop says how a graceful stop goes.
+// Stop configures the graceful shutdown.
 type Stop struct {
 	Lag   time.Duration
 	Grace time.Duration
 }
 
-// Limits bound what a caller may send and how long a call may take.
+// Limits are limits on the size, duration and queueing of calls.
 type Limits struct {
 	Deadline    time.Duration
 	Progress    time.Duration
@@ -113,8 +114,7 @@
 	QueueLength int
 }
 
-// Retry bounds the attempts that the gateway adds to a call, as shares of the
-// calls.
+// Retry limits the retries and hedges that the gateway adds, as shares of the calls.
 type Retry struct {
 	Window        time.Duration
 	Slack         float64
@@ -123,7 +123,7 @@
 	HedgeQuantile float64
 }
 
-// Choice says how a server is chosen for an attempt.
+// Choice configures the selection of a server for an attempt.
 type Choice struct {
 	Policy     string
 	Ask        int
@@ -131,27 +131,30 @@
 	SlowStart  time.Duration
 }
 
-// Kinds of platforms.
+// Values of Platform.Kind.
 const (
-	// KindStore is a store in which the gateways agree on the rules.
+	// KindStore is a platform with a store through which the gateways coordinate the
+	// rules.
 	KindStore = "Store"
-	// KindDirectory is a platform that accepts the rules by itself.
+	// KindDirectory is a platform that itself accepts the rules and lists VMs.
 	KindDirectory = "Directory"
 )
 
-// Formats of load reports.
+// Values of Headers.LoadFormat, the formats of load reports.
 const (
-	// LoadORCA is the JSON text form of the Open Request Cost Aggregation format.
+	// LoadORCA is the JSON text format of Open Request Cost Aggregation (ORCA).
 	LoadORCA = "ORCA"
-	// LoadCounts is a list of counts: running, waiting, slots, slowness in percent.
+	// LoadCounts is a list of counts: running requests, waiting requests, slots, and
+	// the slowness of the VM in percent.
 	LoadCounts = "Counts"
 )
 
-// RetryAfterFractions lets Retry-After have a fraction of a second.
+// RetryAfterFractions is the value of Headers.RetryAfter that permits fractions of a
+// second in Retry-After.
 const RetryAfterFractions = "Fractions"
 
-// Headers names what callers and servers say in headers. An empty name means that
-// they do not say it.
+// Headers configures the headers exchanged with callers and servers. An empty name
+// means that the header is not used.
 type Headers struct {
 	RequestID  string
 	Deadline   string
@@ -164,7 +167,7 @@
 	RetryAfter string
 }
 
-// Service describes the endpoint servers of one service.
+// Service holds the settings of the endpoint servers of one service.
 type Service struct {
 	Name         string
 	NotRunStatus int
@@ -173,8 +176,8 @@
 	Connections  int
 }
 
-// Complete returns the servers of the service, with the settings in place of
-// slots and connections that the platform's list does not state.
+// Complete returns a copy of the servers, in which the settings replace slots and
+// connections that the platform's list does not state.
 func (v Service) Complete(servers []mustardsaddle.Server) []mustardsaddle.Server {
 	complete := slices.Clone(servers)
 	for i := range complete {
@@ -188,14 +191,13 @@
 	return complete
 }
 
-// Log says what is logged.
+// Log configures logging.
 type Log struct {
 	Level      string
 	RouteLines string
 }
 
-// Default returns the settings that apply where a file says nothing. Settings
-// without a default are empty.
+// Default returns the default settings. Settings without a default are empty.
 func Default() Settings {
 	var s Settings
 	for _, item := range gatewayList() {
@@ -206,8 +208,7 @@
 	return s
 }
 
-// defaultService returns the service settings that apply where a file says
-// nothing.
+// defaultService returns the default settings of a service.
 func defaultService(name string) Service {
 	v := Service{Name: name}
 	for _, item := range serviceList() {
@@ -216,8 +217,7 @@
 	return v
 }
 
-// Service returns the settings of a service: those of its section, or the
-// defaults if it has none.
+// Service returns the settings of a service, or the defaults if it has no section.
 func (s Settings) Service(name string) Service {
 	for _, v := range s.services {
 		if v.Name == name {
@@ -227,12 +227,13 @@
 	return defaultService(name)
 }
 
-// Services returns the services that have a section, in the file's order.
+// Services returns the services that have a section, in file order.
 func (s Settings) Services() []Service {
 	return slices.Clone(s.services)
 }
 
-// WithService returns a copy of s in which v replaces the service of its name.
+// WithService returns a copy of s with v added, or replacing the service of the same
+// name.
 func (s Settings) WithService(v Service) Settings {
 	services := slices.Clone(s.services)
 	i := slices.IndexFunc(services, func(old Service) bool { return old.Name == v.Name })
@@ -245,13 +246,13 @@
 	return s
 }
 
-// WithGateway returns a copy of s with the given identity and addresses.
+// WithGateway returns a copy of s with the given gateway settings.
 func (s Settings) WithGateway(g Gateway) Settings {
 	s.Gateway = g
 	return s
 }
 
-// WithPlatform returns a copy of s with the given platform.
+// WithPlatform returns a copy of s with the given platform settings.
 func (s Settings) WithPlatform(p Platform) Settings {
 	s.Platform = p
 	return s
@@ -263,19 +264,19 @@
 	return s
 }
 
-// WithRetry returns a copy of s with the given bounds of retries.
+// WithRetry returns a copy of s with the given retry settings.
 func (s Settings) WithRetry(r Retry) Settings {
 	s.Retry = r
 	return s
 }
 
-// WithStop returns a copy of s with the given way to stop.
+// WithStop returns a copy of s with the given shutdown settings.
 func (s Settings) WithStop(stop Stop) Settings {
 	s.Stop = stop
 	return s
 }
 
-// Changed returns the sections in which s differs from old.
+// Changed returns the names of the sections in which s differs from old.
 func (s Settings) Changed(old Settings) []string {
 	sections := []struct {
 		name     string
--- a/internal/base/settings/value.go
+++ b/internal/base/settings/value.go
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// maxNameBytes bounds names, which travel in messages and log lines.
+// maxNameBytes is the maximum length of names, which are sent in messages and written
+// to log lines.
 const maxNameBytes = 64
 
-// required returns the setting without a default.
+// required returns s as a required setting, which has no default.
 func required[T any](s setting[T], example string) setting[T] {
 	s.Required = true
 	s.Default = ""
@@ -21,7 +22,7 @@
 	return s
 }
 
-// text is a setting whose value passes a check.
+// text returns a string setting whose values must satisfy ok.
 func text[T any](info Info, ok func(string) bool, field func(*T) *string) setting[T] {
 	info.Example = info.Default
 	return setting[T]{Info: info, set: func(t *T, value string) bool {
@@ -33,62 +34,63 @@
 	}}
 }
 
-// name is a setting that holds a short name.
+// name returns a setting that holds a short name.
 func name[T any](section, key, def, meaning string, field func(*T) *string) setting[T] {
 	want := fmt.Sprintf("1 to %d letters, digits, - or _", maxNameBytes)
 	return text(Info{Section: section, Key: key, Default: def, Want: want, Meaning: meaning}, isName, field)
 }
 
 func isName(value string) bool {
-	return value != "" && len(value) <= maxNameBytes && strings.IndexFunc(value, notInName) < 0
+	return value != "" && len(value) <= maxNameBytes && strings.IndexFunc(value, isInvalidInName) < 0
 }
 
-func notInName(r rune) bool {
+func isInvalidInName(r rune) bool {
 	letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z'
 	digit := r >= '0' && r <= '9'
 	return !letter && !digit && r != '-' && r != '_'
 }
 
-// headerName is a setting that holds the name of an HTTP header, or nothing.
+// headerName returns a setting that holds the name of an HTTP header, or nothing.
 func headerName[T any](section, key, def, meaning string, field func(*T) *string) setting[T] {
 	want := fmt.Sprintf("a header name of up to %d letters, digits, - or _, or nothing", maxNameBytes)
 	ok := func(value string) bool { return value == "" || isName(value) }
 	return text(Info{Section: section, Key: key, Default: def, Want: want, Meaning: meaning}, ok, field)
 }
 
-// address is a setting that holds an IP number and a port.
+// address returns a setting that holds an IP address and a port.
 func address[T any](section, key, def, meaning string, field func(*T) *string) setting[T] {
 	ok := func(value string) bool {
 		_, err := netip.ParseAddrPort(value)
 		return err == nil
 	}
-	want := "an IP number and port such as 10.0.0.7:8080; port 0 takes a free one"
+	want := "an IP address and port such as 10.0.0.7:8080; port 0 selects a free one"
 	return text(Info{Section: section, Key: key, Default: def, Want: want, Meaning: meaning}, ok, field)
 }
 
-// optionalAddress is a setting that holds an address of this VM, or none.
+// optionalAddress returns a setting that holds an IP address and a port, or nothing.
 func optionalAddress[T any](section, key, meaning string, field func(*T) *string) setting[T] {
 	ok := func(value string) bool {
 		_, err := netip.ParseAddrPort(value)
 		return value == "" || err == nil
 	}
-	want := "an IP number and port such as 10.0.0.7:8080, or nothing"
+	want := "an IP address and port such as 10.0.0.7:8080, or nothing"
 	return text(Info{Section: section, Key: key, Want: want, Meaning: meaning}, ok, field)
 }
 
-// ownAddress is a setting that holds an address by which others reach this VM.
-func ownAddress[T any](section, key, meaning string, field func(*T) *string) setting[T] {
+// advertisedAddress returns a setting that holds an address at which other VMs reach
+// this one, which excludes the unspecified address.
+func advertisedAddress[T any](section, key, meaning string, field func(*T) *string) setting[T] {
 	ok := func(value string) bool {
 		a, err := netip.ParseAddrPort(value)
 		return err == nil && !a.Addr().IsUnspecified()
 	}
-	want := "an IP number of this VM and a port such as 10.0.0.7:8082, not 0.0.0.0"
+	want := "an IP address of this VM and a port such as 10.0.0.7:8082, not 0.0.0.0"
 	return text(Info{Section: section, Key: key, Want: want, Meaning: meaning}, ok, field)
 }
 
-// addresses is a setting that holds addresses of other VMs, or none.
+// addresses returns a setting that holds addresses of other VMs, or nothing.
 func addresses[T any](section, key, meaning string, field func(*T) *[]string) setting[T] {
-	info := Info{Section: section, Key: key, Want: "IP numbers and ports such as 10.0.0.7:8082, separated by commas, or nothing", Meaning: meaning}
+	info := Info{Section: section, Key: key, Want: "IP addresses and ports such as 10.0.0.7:8082, separated by commas, or nothing", Meaning: meaning}
 	return setting[T]{Info: info, set: func(t *T, value string) bool {
 		var list []string
 		for part := range strings.SplitSeq(value, ",") {
@@ -107,7 +109,7 @@
 	}}
 }
 
-// httpURL is a setting that holds the address of an HTTP service.
+// httpURL returns a setting that holds the base URL of an HTTP service.
 func httpURL[T any](section, key, meaning string, field func(*T) *string) setting[T] {
 	want := "an http or https URL such as http://10.0.0.1:7000, without a query or final slash"
 	return text(Info{Section: section, Key: key, Want: want, Meaning: meaning}, isBaseURL, field)
@@ -122,7 +124,7 @@
 	return u.Hostname() != "" && bare && !strings.HasSuffix(u.Path, "/")
 }
 
-// urlPath is a setting that holds the path of a URL.
+// urlPath returns a setting that holds the path of a URL.
 func urlPath[T any](section, key, def, meaning string, field func(*T) *string) setting[T] {
 	ok := func(value string) bool {
 		u, err := url.ParseRequestURI(value)
@@ -131,7 +133,7 @@
 	return text(Info{Section: section, Key: key, Default: def, Want: "a path such as /load", Meaning: meaning}, ok, field)
 }
 
-// oneOf is a setting that holds one of the given values.
+// oneOf returns a setting that holds one of the given values.
 func oneOf[T any](section, key, def string, values []string, meaning string, field func(*T) *string) setting[T] {
 	ok := func(value string) bool { return slices.Contains(values, value) }
 	want := strings.Join(values, ", ")
@@ -141,9 +143,9 @@
 	return text(Info{Section: section, Key: key, Default: def, Want: want, Meaning: meaning}, ok, field)
 }
 
-// duration is a setting that holds a time with its unit.
+// duration returns a setting that holds a duration with its unit, from lo to hi.
 func duration[T any](section, key, def string, lo, hi time.Duration, meaning string, field func(*T) *time.Duration) setting[T] {
-	want := fmt.Sprintf("a time from %s to %s", short(lo), short(hi))
+	want := fmt.Sprintf("a duration from %s to %s", shortDuration(lo), shortDuration(hi))
 	info := Info{Section: section, Key: key, Default: def, Example: def, Want: want, Meaning: meaning}
 	return setting[T]{Info: info, set: func(t *T, value string) bool {
 		d, err := time.ParseDuration(value)
@@ -155,8 +157,8 @@
 	}}
 }
 
-// short formats a duration without units that are zero.
-func short(d time.Duration) string {
+// shortDuration formats a duration without trailing units that are zero.
+func shortDuration(d time.Duration) string {
 	s := d.String()
 	if strings.HasSuffix(s, "m0s") {
 		s = strings.TrimSuffix(s, "0s")
@@ -167,7 +169,7 @@
 	return s
 }
 
-// integer is a setting that holds a whole number.
+// integer returns a setting that holds a whole number from lo to hi.
 func integer[T any, N int | int64](section, key, def string, lo, hi int64, unit, meaning string, field func(*T) *N) setting[T] {
 	want := fmt.Sprintf("a whole number from %d to %d (%s)", lo, hi, unit)
 	info := Info{Section: section, Key: key, Default: def, Example: def, Want: want, Meaning: meaning}
@@ -181,7 +183,7 @@
 	}}
 }
 
-// number is a setting that holds a number, whole or not.
+// number returns a setting that holds a decimal number from lo to hi.
 func number[T any](section, key, def string, lo, hi float64, unit, meaning string, field func(*T) *float64) setting[T] {
 	want := fmt.Sprintf("a number from %s to %s (%s)", decimal(lo), decimal(hi), unit)
 	info := Info{Section: section, Key: key, Default: def, Example: def, Want: want, Meaning: meaning}
@@ -200,16 +202,16 @@
 	return strconv.FormatFloat(n, 'f', -1, 64)
 }
 
-// notRunStatus is a setting that holds the status of a refusal, or 0.
+// notRunStatus returns a setting that holds the HTTP status of a refusal, or 0.
 func notRunStatus(key, meaning string, field func(*Service) *int) setting[Service] {
 	const lo, hi = 400, 599
 	s := integer(sectionService, key, "0", 0, hi, "", meaning, field)
 	s.Want = fmt.Sprintf("an HTTP status from %d to %d, or 0 for none", lo, hi)
-	inRange := s.set
+	setInRange := s.set
 	s.set = func(v *Service, value string) bool {
 		n, err := strconv.Atoi(value)
 		refusal := n == 0 || n >= lo
-		return err == nil && refusal && inRange(v, value)
+		return err == nil && refusal && setInRange(v, value)
 	}
 	return s
 }
