--- a/internal/base/code/code.go
+++ b/internal/base/code/code.go
@@ -1,10 +1,10 @@
-// Package code defines the numbered result codes of the load balancer. Every
-// refusal that a caller, an operator or a log reader meets carries one;
-// docs/CODES.md lists them all.
+// Package code defines the numeric result codes of the load balancer. Every error
+// that is reported to a caller, to an operator or in the log has one; docs/CODES.md
+// lists all codes.
 //
 // # Usage
 //
-//	return code.Errorf(code.RuleNoWho, "line %d: rule has no comment naming who asked", line)
+//	return code.Errorf(code.RuleNoWho, "line %d: rule has no comment that names who requested it", line)
 //	...
 //	if code.Of(err) == code.StoreConflict { ... }
 package code
@@ -17,15 +17,16 @@
 
 //go:generate go tool -modfile=../../../tools/go.mod stringer -type=Code -output=code_string.go
 
-// Code is a result code. The hundreds digit and above name the area: 1xxx
-// settings, 2xxx rules, 3xxx store, 4xxx calls, 5xxx peer messages.
+// Code is a result code. The thousands digit identifies the area: 1xxx settings,
+// 2xxx rules, 3xxx store, 4xxx calls, 5xxx peer messages, 6xxx load reports, 7xxx
+// process.
 type Code int
 
 // Error is an error with a result code.
 type Error struct {
 	// Code is the result code.
 	Code Code
-	// Text says what happened, in lower case, naming the operation and values.
+	// Text describes the error in lower case, with the operation and its values.
 	Text string
 	// Cause is the underlying error, if any.
 	Cause error
@@ -54,8 +55,8 @@
 	return &Error{Code: c, Text: fmt.Sprintf(format, args...), Cause: cause}
 }
 
-// Of returns the code of the outermost Error in err's chain, OK for nil, and
-// Internal for an error without a code.
+// Of returns the code of the outermost Error in err's chain. It returns OK for nil,
+// and Internal for an error without a code.
 func Of(err error) Code {
 	if err == nil {
 		return OK
--- a/internal/base/code/list.go
+++ b/internal/base/code/list.go
@@ -3,7 +3,7 @@
 const (
 	// OK means success.
 	OK Code = 0
-	// Internal means a broken invariant; please report it.
+	// Internal means an internal error, a violated invariant; please report it.
 	Internal Code = 1
 )
 
@@ -11,21 +11,21 @@
 const (
 	// SettingsUnreadable means that the settings file could not be read.
 	SettingsUnreadable Code = iota + 1001
-	// SettingsUnknownSection means a section that no version knows.
+	// SettingsUnknownSection means a section that does not exist.
 	SettingsUnknownSection
-	// SettingsUnknownKey means a key that the section does not have.
+	// SettingsUnknownKey means a key that does not exist in its section.
 	SettingsUnknownKey
-	// SettingsBadValue means a value that does not parse or is out of range.
+	// SettingsBadValue means a value that cannot be parsed or is out of range.
 	SettingsBadValue
-	// SettingsMissing means a required key without a value.
+	// SettingsMissing means that a required key is missing.
 	SettingsMissing
-	// SettingsSyntax means text that is not an INI file.
+	// SettingsSyntax means text that is not valid INI syntax.
 	SettingsSyntax
-	// SettingsDuplicate means a second section or key of the same name.
+	// SettingsDuplicate means a duplicate section, or a duplicate key in a section.
 	SettingsDuplicate
-	// SettingsTooLarge means a settings file above the limit.
+	// SettingsTooLarge means a settings file above the size limit.
 	SettingsTooLarge
-	// SettingsConflict means two settings that do not fit together.
+	// SettingsConflict means settings that contradict each other.
 	SettingsConflict
 )
 
@@ -33,40 +33,41 @@
 const (
 	// RuleSyntax means a line that is not a list of Name=Value pairs.
 	RuleSyntax Code = iota + 2001
-	// RuleUnknownField means a field name that no version knows.
+	// RuleUnknownField means a field name that does not exist.
 	RuleUnknownField
-	// RuleBadValue means a value that does not parse or is out of range.
+	// RuleBadValue means a value that cannot be parsed or is out of range.
 	RuleBadValue
 	// RuleMissingField means a rule without Path or Service.
 	RuleMissingField
-	// RuleNoWho means a rule without a comment that names who asked for it.
+	// RuleNoWho means a rule without a comment that names who requested it and why.
 	RuleNoWho
-	// RuleDuplicate means a second rule with the same Host, Path and Method.
+	// RuleDuplicate means a second rule with the same Host, Path and Method, or a
+	// second declaration of the same service or of the idle timeout.
 	RuleDuplicate
 	// RuleBadEncoding means text that is not UTF-8, has a byte order mark or
 	// contains control characters.
 	RuleBadEncoding
-	// RuleTooLarge means a rules file above the store's limit.
+	// RuleTooLarge means a rules file above the size limit.
 	RuleTooLarge
-	// RuleLineTooLong means a line above the limit.
+	// RuleLineTooLong means a line above the length limit.
 	RuleLineTooLong
-	// RuleRepeatedField means a field that stands twice in one rule.
+	// RuleRepeatedField means a duplicate field in one rule.
 	RuleRepeatedField
 	// RuleBadPattern means a Path that is not a valid path or pattern.
 	RuleBadPattern
-	// RuleBadGeneration means a Generation line that is missing, repeated, out
-	// of place or not a number.
+	// RuleBadGeneration means a Generation line that is missing, duplicate, not the
+	// first line or without a valid number.
 	RuleBadGeneration
-	// RuleUnknownBase means that the generation that a submission names is not
-	// known, because it is too old or was never accepted.
+	// RuleUnknownBase means that the generation stated by a submission is unknown,
+	// because it is too old or was never accepted.
 	RuleUnknownBase
-	// RuleConflictChange means that the submission and an accepted one both
-	// changed the same rule, differently.
+	// RuleConflictChange means that the submission and an accepted generation
+	// changed the same rule differently.
 	RuleConflictChange
-	// RuleConflictRemoval means that one side removed a rule that the other
-	// changed.
+	// RuleConflictRemoval means that the submission or an accepted generation removed
+	// a rule that the other one changed.
 	RuleConflictRemoval
-	// RuleSubmissionLost means that the store no longer has a submission.
+	// RuleSubmissionLost means that a submission is no longer in the store.
 	RuleSubmissionLost
 )
 
@@ -74,24 +75,26 @@
 const (
 	// StoreConflict means that a conditional write found a newer version.
 	StoreConflict Code = iota + 3001
-	// StoreUnavailable means that the platform's store did not answer.
+	// StoreUnavailable means that the platform's store did not respond.
 	StoreUnavailable
-	// StoreTooLarge means a value above the store's limit.
+	// StoreTooLarge means a value above the store's size limit.
 	StoreTooLarge
-	// StoreBadObject means an object that is not ours or has a newer format.
+	// StoreBadObject means a stored object that cannot be decoded, has an unsupported
+	// format, or contradicts what the gateway already knows.
 	StoreBadObject
-	// StoreRefused means that the store refused the call.
+	// StoreRefused means that the store rejected the call.
 	StoreRefused
-	// StoreBudget means that the gateway's own call budget is spent. Nothing was
-	// sent.
+	// StoreBudget means that the gateway's call budget for the store is exhausted. No
+	// call was sent.
 	StoreBudget
-	// StoreNewerFormat means an object whose format is newer than this program.
+	// StoreNewerFormat means a stored object whose format version is newer than this
+	// program supports.
 	StoreNewerFormat
-	// StoreBackoff means that the client waits after failures before it calls
-	// the store again. Nothing was sent.
+	// StoreBackoff means that the client is backing off after failed calls to the
+	// store. No call was sent.
 	StoreBackoff
 	// StoreHistoryLost means that the store no longer has the changes since a
-	// revision, so that the whole has to be read.
+	// revision, so that a full read is needed.
 	StoreHistoryLost
 )
 
@@ -99,50 +102,51 @@
 const (
 	// CallNoRule means that no rule matches the request.
 	CallNoRule Code = iota + 4001
-	// CallNoServer means that no server can take the request now.
+	// CallNoServer means that no server is currently available for the request.
 	CallNoServer
-	// CallOverloaded means that the queue is longer than the deadline allows.
+	// CallOverloaded means that the queue is too long for the request's deadline.
 	CallOverloaded
-	// CallDeadline means that the deadline passed.
+	// CallDeadline means that the deadline was exceeded.
 	CallDeadline
-	// CallBroken means that the server's answer did not come whole.
+	// CallBroken means that the server's response was incomplete.
 	CallBroken
 	// CallNotReady means that the gateway has no rules yet.
 	CallNotReady
 	// CallBadRequest means a request with conflicting or unsupported framing.
 	CallBadRequest
-	// CallTooLarge means a header or body above the limit.
+	// CallTooLarge means a header or body above the size limit.
 	CallTooLarge
-	// CallCanceled means that the caller went away.
+	// CallCanceled means that the caller disconnected.
 	CallCanceled
-	// CallUpgrade means a request for another protocol, which is not supported.
+	// CallUpgrade means a protocol upgrade request, which is not supported.
 	CallUpgrade
-	// CallMismatch means an answer that belongs to another attempt.
+	// CallMismatch means a response that belongs to another attempt.
 	CallMismatch
-	// CallClaimed means that the request's Idempotency-Key is claimed already.
+	// CallClaimed means that the request's Idempotency-Key is already claimed.
 	CallClaimed
-	// CallStopping means that the gateway stops and takes no new callers.
+	// CallStopping means that the gateway is shutting down and accepts no new calls.
 	CallStopping
 )
 
 // Process codes.
 const (
-	// StopCut means that a stop cut calls, because it was aborted.
+	// StopCut means that calls were aborted because the graceful shutdown was aborted
+	// or exceeded its time limit.
 	StopCut Code = iota + 7001
 )
 
 // Peer message codes.
 const (
-	// PeerBadMessage means a message that does not decode.
+	// PeerBadMessage means a message that cannot be decoded or is invalid.
 	PeerBadMessage Code = iota + 5001
-	// PeerNewerFormat means a message of a newer format.
+	// PeerNewerFormat means a message with a newer format version.
 	PeerNewerFormat
-	// PeerUnavailable means that a peer cannot be reached, or its link ended.
+	// PeerUnavailable means that a peer cannot be reached, or that its link has ended.
 	PeerUnavailable
 )
 
-// Report codes.
+// Load report codes.
 const (
-	// ReportBad means a load report that does not parse or is out of range.
+	// ReportBad means a load report that cannot be parsed or is out of range.
 	ReportBad Code = iota + 6001
 )
