--- a/internal/base/event/event_test.go
+++ b/internal/base/event/event_test.go
@@ -17,11 +17,11 @@
 	convey.Convey("Given a logger at level warn", t, func() {
 		var out bytes.Buffer
 		logger := event.NewLogger(&out, "warn", "gateway-1")
-		convey.Convey("A routine line is left out", func() {
+		convey.Convey("A line at level info is suppressed", func() {
 			event.Info(logger, event.Started).Str("Listen", "127.0.0.1:1").Send()
 			convey.So(out.Len(), convey.ShouldEqual, 0)
 		})
-		convey.Convey("A warning is one JSON object with the common fields", func() {
+		convey.Convey("A line at level warn is one JSON object with the common fields", func() {
 			event.Warn(logger, event.StoreFailed).Str("Key", "Rules/Accepted").Send()
 			var line struct {
 				Time                 time.Time
@@ -39,14 +39,15 @@
 			convey.So(bytes.Count(out.Bytes(), []byte("\n")), convey.ShouldEqual, 1)
 		})
 	})
-	convey.Convey("An error line carries the error's text", t, func() {
+	convey.Convey("A line at level error has the text of the error", t, func() {
 		var out bytes.Buffer
 		event.Error(event.NewLogger(&out, "info", "g"), event.StoreFailed).Err(errors.New("refused")).Send()
 		convey.So(out.String(), convey.ShouldContainSubstring, `"Error":"refused"`)
 	})
 }
 
-// BenchmarkRouteLine measures one routing line with the usual number of fields.
+// BenchmarkRouteLine measures the logging of one RouteChosen line with a typical
+// number of fields.
 func BenchmarkRouteLine(b *testing.B) {
 	logger := event.NewLogger(io.Discard, "info", "gateway-1")
 	b.ReportAllocs()
--- a/internal/base/event/writer.go
+++ b/internal/base/event/writer.go
@@ -6,37 +6,37 @@
 	"sync"
 )
 
-// defaultWriterBytes is how many bytes of lines a Writer holds by default.
+// defaultWriterBytes is the default buffer size of a Writer.
 const defaultWriterBytes = 1 << 20
 
 // WriterConfig configures a Writer.
 type WriterConfig struct {
-	// Out takes the lines.
+	// Out is the destination of the lines.
 	Out io.Writer
-	// Bytes bounds the lines that wait for Out; 0 means 1 MiB.
+	// Bytes is the maximum size of the buffered lines; 0 means 1 MiB.
 	Bytes int
-	// Gateway names the gateway in the line that counts lost lines.
+	// Gateway is the gateway's name in LinesLost lines.
 	Gateway string
 }
 
-// Writer passes log lines on to a slower writer, many in one write. A call that
-// is being routed never waits for the reader of the log: lines that don't fit
-// are lost and counted, and a LinesLost line gives their number once there is
-// room again. It is safe for concurrent use.
+// Writer is an asynchronous, buffered log writer, which writes many lines to a slower
+// writer at once. Logging never blocks the routing of a call on slow log output:
+// lines that exceed the buffer are dropped and counted, and a LinesLost line states
+// their number after the next write. It is safe for concurrent use.
 type Writer struct {
 	cfg  WriterConfig
 	wake chan struct{}
 	done chan struct{}
 
 	mu      sync.Mutex
-	waiting []byte
-	lost    int64
+	pending []byte
+	dropped int64
 }
 
 var _ io.Writer = (*Writer)(nil)
 
-// NewWriter starts a Writer. After the context ends it passes on the lines that
-// wait, and closes Done.
+// NewWriter starts a Writer. When the context ends, the Writer flushes the buffered
+// lines and closes Done.
 func NewWriter(ctx context.Context, cfg WriterConfig) *Writer {
 	if cfg.Bytes == 0 {
 		cfg.Bytes = defaultWriterBytes
@@ -46,18 +46,18 @@
 	return w
 }
 
-// Done is closed when the last line has been passed on.
+// Done returns a channel that is closed when the last line has been flushed.
 func (w *Writer) Done() <-chan struct{} {
 	return w.done
 }
 
-// Write takes one line. It never waits for Out and returns no error.
+// Write buffers one line. It never blocks on Out and never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
-	if len(w.waiting)+len(line) > w.cfg.Bytes {
-		w.lost++
+	if len(w.pending)+len(line) > w.cfg.Bytes {
+		w.dropped++
 	} else {
-		w.waiting = append(w.waiting, line...)
+		w.pending = append(w.pending, line...)
 	}
 	w.mu.Unlock()
 	select {
@@ -73,26 +73,26 @@
 	for {
 		select {
 		case <-w.wake:
-			spare = w.pass(spare)
+			spare = w.flush(spare)
 		case <-ctx.Done():
-			w.pass(spare)
+			w.flush(spare)
 			return
 		}
 	}
 }
 
-// pass writes the lines that wait, and returns their buffer for use again. A
-// line that Out refuses has nowhere else to go.
-func (w *Writer) pass(spare []byte) []byte {
+// flush writes the buffered lines, and returns their buffer for reuse. Write errors
+// of Out are ignored, because there is nowhere else to report them.
+func (w *Writer) flush(spare []byte) []byte {
 	w.mu.Lock()
-	lines, lost := w.waiting, w.lost
-	w.waiting, w.lost = spare[:0], 0
+	lines, dropped := w.pending, w.dropped
+	w.pending, w.dropped = spare[:0], 0
 	w.mu.Unlock()
 	if len(lines) > 0 {
 		_, _ = w.cfg.Out.Write(lines)
 	}
-	if lost > 0 {
-		Warn(NewLogger(w.cfg.Out, "warn", w.cfg.Gateway), LinesLost).Int64("Lines", lost).Send()
+	if dropped > 0 {
+		Warn(NewLogger(w.cfg.Out, "warn", w.cfg.Gateway), LinesLost).Int64("Lines", dropped).Send()
 	}
 	return lines
 }
--- a/internal/base/event/writer_test.go
+++ b/internal/base/event/writer_test.go
@@ -12,42 +12,43 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/event"
 )
 
-// gate is a writer that tells when a write begins, and holds it until opened.
-type gate struct {
-	begun chan struct{}
-	open  chan struct{}
+// blockingWriter is a writer that signals the start of each write on started, and
+// blocks it until unblock is closed.
+type blockingWriter struct {
+	started chan struct{}
+	unblock chan struct{}
 	bytes.Buffer
 }
 
-// Write waits until the gate is open.
-func (g *gate) Write(p []byte) (int, error) {
-	g.begun <- struct{}{}
-	<-g.open
-	return g.Buffer.Write(p)
+// Write blocks until unblock is closed.
+func (w *blockingWriter) Write(p []byte) (int, error) {
+	w.started <- struct{}{}
+	<-w.unblock
+	return w.Buffer.Write(p)
 }
 
 func TestWriter(t *testing.T) {
-	convey.Convey("Given a log whose reader has stopped reading", t, func() {
+	convey.Convey("Given a blocked log output", t, func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		out := &gate{begun: make(chan struct{}, 9), open: make(chan struct{})}
+		out := &blockingWriter{started: make(chan struct{}, 9), unblock: make(chan struct{})}
 		w := event.NewWriter(ctx, event.WriterConfig{Out: out, Bytes: 40, Gateway: "g"})
 		_, _ = fmt.Fprintln(w, "line 0")
-		<-out.begun
-		convey.Convey("Writing goes on at once, and lines that don't fit are counted", func() {
+		<-out.started
+		convey.Convey("Writes do not block, and lines that exceed the buffer are counted", func() {
 			for i := 1; i <= 8; i++ {
 				n, err := fmt.Fprintln(w, "line", i)
 				convey.So(n, convey.ShouldEqual, 7)
 				convey.So(err, convey.ShouldBeNil)
 			}
-			close(out.open)
+			close(out.unblock)
 			cancel()
 			<-w.Done()
 			convey.So(out.String(), convey.ShouldStartWith, "line 0\nline 1\nline 2\nline 3\nline 4\nline 5\n{")
 			convey.So(out.String(), convey.ShouldContainSubstring, `"Name":"LinesLost","Lines":3`)
 		})
 	})
-	convey.Convey("At the end every line that waits is passed on", t, func() {
+	convey.Convey("All buffered lines are flushed when the context ends", t, func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		var out bytes.Buffer
 		w := event.NewWriter(ctx, event.WriterConfig{Out: &out})
@@ -60,8 +61,8 @@
 	})
 }
 
-// BenchmarkOutput compares a line written at once with one that waits its turn,
-// each to a device that takes everything.
+// BenchmarkOutput compares synchronous logging with logging through a Writer, both to
+// the null device.
 func BenchmarkOutput(b *testing.B) {
 	null, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0)
 	if err != nil {
