--- a/internal/control/rule/accept.go
+++ b/internal/control/rule/accept.go
@@ -36,13 +36,13 @@
 
 // LostSubmission returns a placeholder for a version that the store no longer has.
 func LostSubmission(version int64) Submission {
-	p := problemf(code.RuleSubmissionLost, "submission is no longer in the store").at(1)
+	p := problemf(code.RuleSubmissionLost, "submission is no longer in the store").atLine(1)
 	return Submission{Version: version, Problems: []Problem{p}}
 }
 
 // LargeSubmission returns a placeholder for a version that is too large to read.
 func LargeSubmission(version int64) Submission {
-	p := problemf(code.RuleTooLarge, "want at most %d bytes", MaxFileBytes).at(1)
+	p := problemf(code.RuleTooLarge, "submission is too large to read, want at most %d bytes", MaxFileBytes).atLine(1)
 	return Submission{Version: version, Problems: []Problem{p}}
 }
 
@@ -86,7 +86,7 @@
 	changed := d.Next
 	changed.File = file.WithGeneration(a.File.Generation + 1)
 	if n := len(changed.Format()); n > MaxFileBytes {
-		p := problemf(code.RuleTooLarge, "merged rules have %d bytes, want at most %d", n, MaxFileBytes).at(1)
+		p := problemf(code.RuleTooLarge, "merged rules have %d bytes, want at most %d", n, MaxFileBytes).atLine(1)
 		d.Refused = []Problem{p}
 		d.Next.Refusals = appendRefusals(a.Refusals, s.Version, d.Refused)
 		return d
@@ -110,10 +110,10 @@
 	}
 	if !s.File.HasGeneration {
 		p := problemf(code.RuleBadGeneration, "missing Generation line, want the generation of the edited file, such as %s%d", generationPrefix, a.File.Generation)
-		return a.File, []Problem{p.at(1)}
+		return a.File, []Problem{p.atLine(1)}
 	}
 	p := problemf(code.RuleUnknownBase, "unknown generation %d, want a recent one up to %d", s.File.Generation, a.File.Generation)
-	return a.File, []Problem{p.at(1)}
+	return a.File, []Problem{p.atLine(1)}
 }
 
 func sameLines(a, b File) bool {
@@ -130,7 +130,7 @@
 		all = append(all, Refusal{Submission: submission, Problem: p})
 	}
 	if more := len(problems) - (maxRefusals - 1); more > 0 {
-		p := problemf(code.RuleSyntax, "%d more problems", more).at(problems[maxRefusals-1].Line)
+		p := problemf(code.RuleSyntax, "%d more problems", more).atLine(problems[maxRefusals-1].Line)
 		all = append(all, Refusal{Submission: submission, Problem: p})
 	}
 	return all[max(0, len(all)-maxRefusals):]
--- a/internal/control/rule/merge.go
+++ b/internal/control/rule/merge.go
@@ -12,13 +12,13 @@
 
 // index maps the keys of a file's lines to their positions.
 type index struct {
-	file File
-	keys []key
-	at   map[key]int
+	file      File
+	keys      []key
+	positions map[key]int
 }
 
 func indexOf(f File) index {
-	x := index{file: f, keys: make([]key, len(f.lines)), at: make(map[key]int, len(f.lines))}
+	x := index{file: f, keys: make([]key, len(f.lines)), positions: make(map[key]int, len(f.lines))}
 	occurrences := make(map[string]int)
 	for i, l := range f.lines {
 		k := key{text: "#" + l.text, occurrence: occurrences[l.text]}
@@ -28,14 +28,14 @@
 			occurrences[l.text]++
 		}
 		x.keys[i] = k
-		x.at[k] = i
+		x.positions[k] = i
 	}
 	return x
 }
 
 // line returns the line with the given key, or nil if there is none.
 func (x index) line(k key) *line {
-	i, ok := x.at[k]
+	i, ok := x.positions[k]
 	if !ok {
 		return nil
 	}
@@ -97,14 +97,14 @@
 	name := describe(k.id)
 	if s == nil {
 		p := problemf(code.RuleConflictRemoval, "removes %s, which has changed since generation %d", name, m.base.file.Generation)
-		return p.at(m.lineBefore(k))
+		return p.atLine(m.lineBefore(k))
 	}
 	verb := "changes"
 	if b == nil {
 		verb = "adds"
 	}
 	p := problemf(code.RuleConflictChange, "%s %s, which has changed since generation %d", verb, name, m.base.file.Generation)
-	return p.at(s.number)
+	return p.atLine(s.number)
 }
 
 func describe(id ID) string {
@@ -114,7 +114,7 @@
 // lineBefore returns the number of the last submitted line before the position of
 // a removed line, or 1 if there is none.
 func (m merger) lineBefore(k key) int {
-	for i := m.base.at[k] - 1; i >= 0; i-- {
+	for i := m.base.positions[k] - 1; i >= 0; i-- {
 		if s := m.submitted.line(m.base.keys[i]); s != nil {
 			return s.number
 		}
@@ -129,7 +129,7 @@
 	var problems []Problem
 	after := -1
 	for i, k := range m.submitted.keys {
-		if at, ok := m.accepted.at[k]; ok {
+		if at, ok := m.accepted.positions[k]; ok {
 			if kept[at] != nil {
 				after = at
 			}
@@ -141,7 +141,7 @@
 			added[after] = append(added[after], s)
 		case !equal(&s, b):
 			problem := problemf(code.RuleConflictRemoval, "changes %s, which was removed since generation %d", describe(k.id), m.base.file.Generation)
-			problems = append(problems, problem.at(s.number))
+			problems = append(problems, problem.atLine(s.number))
 		}
 	}
 	return added, problems
--- a/internal/control/rule/parse.go
+++ b/internal/control/rule/parse.go
@@ -26,7 +26,7 @@
 func Parse(text string) (File, []Problem) {
 	p := parser{seen: make(map[ID]int)}
 	if len(text) > MaxFileBytes {
-		return File{}, []Problem{problemf(code.RuleTooLarge, "got %d bytes, want at most %d", len(text), MaxFileBytes).at(1)}
+		return File{}, []Problem{problemf(code.RuleTooLarge, "got %d bytes, want at most %d", len(text), MaxFileBytes).atLine(1)}
 	}
 	if rest, ok := strings.CutPrefix(text, byteOrderMark); ok {
 		p.addProblem(1, problemf(code.RuleBadEncoding, "file starts with a byte order mark, want plain UTF-8"))
@@ -50,7 +50,7 @@
 }
 
 func (p *parser) addProblem(number int, problem Problem) {
-	p.problems = append(p.problems, problem.at(number))
+	p.problems = append(p.problems, problem.atLine(number))
 }
 
 // parseGeneration parses the number of a Generation line.
--- a/internal/control/rule/problem.go
+++ b/internal/control/rule/problem.go
@@ -34,8 +34,8 @@
 	return Problem{Code: c, Text: fmt.Sprintf(format, args...)}
 }
 
-// at returns a copy of p with the given line number.
-func (p Problem) at(line int) Problem {
+// atLine returns a copy of p with the given line number.
+func (p Problem) atLine(line int) Problem {
 	p.Line = line
 	return p
 }
