--- a/internal/base/event/writer.go
+++ b/internal/base/event/writer.go
@@ -13,8 +13,8 @@
 type WriterConfig struct {
 	// Out is the destination of the lines.
 	Out io.Writer
-	// Bytes is the maximum size of the buffered lines; 0 means 1 MiB.
-	Bytes int
+	// BufferBytes is the maximum size of the buffered lines; 0 means 1 MiB.
+	BufferBytes int
 	// Gateway is the gateway's name in LinesLost lines.
 	Gateway string
 }
@@ -38,8 +38,8 @@
 // NewWriter starts a Writer. When the context ends, the Writer flushes the buffered
 // lines and closes Done.
 func NewWriter(ctx context.Context, cfg WriterConfig) *Writer {
-	if cfg.Bytes == 0 {
-		cfg.Bytes = defaultWriterBytes
+	if cfg.BufferBytes == 0 {
+		cfg.BufferBytes = defaultWriterBytes
 	}
 	w := &Writer{cfg: cfg, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run(ctx)
@@ -54,7 +54,7 @@
 // Write buffers one line. It never blocks on Out and never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
-	if len(w.pending)+len(line) > w.cfg.Bytes {
+	if len(w.pending)+len(line) > w.cfg.BufferBytes {
 		w.dropped++
 	} else {
 		w.pending = append(w.pending, line...)
--- a/internal/base/event/writer_test.go
+++ b/internal/base/event/writer_test.go
@@ -32,7 +32,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		out := &blockingWriter{started: make(chan struct{}, 9), unblock: make(chan struct{})}
-		w := event.NewWriter(ctx, event.WriterConfig{Out: out, Bytes: 40, Gateway: "g"})
+		w := event.NewWriter(ctx, event.WriterConfig{Out: out, BufferBytes: 40, Gateway: "g"})
 		_, _ = fmt.Fprintln(w, "line 0")
 		<-out.started
 		convey.Convey("Writes do not block, and lines that exceed the buffer are counted", func() {
--- a/internal/base/settings/example.go
+++ b/internal/base/settings/example.go
@@ -24,7 +24,7 @@
 		if info.Required {
 			requirement = "Required. "
 		}
-		_, _ = fmt.Fprintf(&b, "# %s\n# %sAccepts %s.\n", info.Meaning, requirement, info.Want)
+		_, _ = fmt.Fprintf(&b, "# %s\n# %sAccepts %s.\n", info.Description, requirement, info.Accepts)
 		b.WriteString(strings.TrimSpace(info.Key+" = "+info.Example) + "\n")
 	}
 	return b.String()
--- a/internal/base/settings/list.go
+++ b/internal/base/settings/list.go
@@ -13,10 +13,10 @@
 	Default string
 	// Required is true when the file must state the setting.
 	Required bool
-	// Want describes the accepted values and their unit.
-	Want string
-	// Meaning describes the effect of the setting.
-	Meaning string
+	// Accepts states the accepted values and their unit.
+	Accepts string
+	// Description states the effect of the setting.
+	Description string
 	// Example is the value shown in the annotated example.
 	Example string
 }
--- a/internal/base/settings/load.go
+++ b/internal/base/settings/load.go
@@ -195,7 +195,7 @@
 	}
 	for _, item := range list {
 		if item.Required && !present[item.Key] {
-			c.addProblem(code.SettingsMissing, section, item.Key, "nothing", item.Want)
+			c.addProblem(code.SettingsMissing, section, item.Key, "nothing", item.Accepts)
 		}
 	}
 }
@@ -208,7 +208,7 @@
 			continue
 		}
 		if !item.set(target, key.Value()) {
-			c.addProblem(code.SettingsBadValue, section, item.Key, fmt.Sprintf("%q", key.Value()), item.Want)
+			c.addProblem(code.SettingsBadValue, section, item.Key, fmt.Sprintf("%q", key.Value()), item.Accepts)
 		}
 		return
 	}
--- a/internal/base/settings/settings_test.go
+++ b/internal/base/settings/settings_test.go
@@ -63,7 +63,7 @@
 		case info.Default == "":
 			def = "nothing"
 		}
-		row := fmt.Sprintf("| `%s` | %s | %s | %s |", info.Key, def, info.Want, info.Meaning)
+		row := fmt.Sprintf("| `%s` | %s | %s | %s |", info.Key, def, info.Accepts, info.Description)
 		if !strings.Contains(string(text), row+"\n") {
 			missing += row + "\n"
 		}
@@ -83,8 +83,8 @@
 	names = append(names, settings.PolicySurvey)
 	want := "one of " + strings.Join(names, ", ")
 	for _, info := range settings.List() {
-		if info.Key == "Policy" && info.Want != want {
-			t.Errorf("[Choice] Policy accepts %s, want %s as in packages bench and survey", info.Want, want)
+		if info.Key == "Policy" && info.Accepts != want {
+			t.Errorf("[Choice] Policy accepts %s, want %s as in packages bench and survey", info.Accepts, want)
 		}
 	}
 }
--- a/internal/base/settings/value.go
+++ b/internal/base/settings/value.go
@@ -35,9 +35,9 @@
 }
 
 // name returns a setting that holds a short name.
-func name[T any](section, key, def, meaning string, field func(*T) *string) setting[T] {
+func name[T any](section, key, def, description string, field func(*T) *string) setting[T] {
 	want := fmt.Sprintf("1 to %d letters, digits, - or _", maxNameBytes)
-	return text(Info{Section: section, Key: key, Default: def, Want: want, Meaning: meaning}, isName, field)
+	return text(Info{Section: section, Key: key, Default: def, Accepts: want, Description: description}, isName, field)
 }
 
 func isName(value string) bool {
@@ -51,46 +51,46 @@
 }
 
 // headerName returns a setting that holds the name of an HTTP header, or nothing.
-func headerName[T any](section, key, def, meaning string, field func(*T) *string) setting[T] {
+func headerName[T any](section, key, def, description string, field func(*T) *string) setting[T] {
 	want := fmt.Sprintf("a header name of up to %d letters, digits, - or _, or nothing", maxNameBytes)
 	ok := func(value string) bool { return value == "" || isName(value) }
-	return text(Info{Section: section, Key: key, Default: def, Want: want, Meaning: meaning}, ok, field)
+	return text(Info{Section: section, Key: key, Default: def, Accepts: want, Description: description}, ok, field)
 }
 
 // address returns a setting that holds an IP address and a port.
-func address[T any](section, key, def, meaning string, field func(*T) *string) setting[T] {
+func address[T any](section, key, def, description string, field func(*T) *string) setting[T] {
 	ok := func(value string) bool {
 		_, err := netip.ParseAddrPort(value)
 		return err == nil
 	}
 	want := "an IP address and port such as 10.0.0.7:8080; port 0 selects a free one"
-	return text(Info{Section: section, Key: key, Default: def, Want: want, Meaning: meaning}, ok, field)
+	return text(Info{Section: section, Key: key, Default: def, Accepts: want, Description: description}, ok, field)
 }
 
 // optionalAddress returns a setting that holds an IP address and a port, or nothing.
-func optionalAddress[T any](section, key, meaning string, field func(*T) *string) setting[T] {
+func optionalAddress[T any](section, key, description string, field func(*T) *string) setting[T] {
 	ok := func(value string) bool {
 		_, err := netip.ParseAddrPort(value)
 		return value == "" || err == nil
 	}
 	want := "an IP address and port such as 10.0.0.7:8080, or nothing"
-	return text(Info{Section: section, Key: key, Want: want, Meaning: meaning}, ok, field)
+	return text(Info{Section: section, Key: key, Accepts: want, Description: description}, ok, field)
 }
 
 // advertisedAddress returns a setting that holds an address at which other VMs reach
 // this one, which excludes the unspecified address.
-func advertisedAddress[T any](section, key, meaning string, field func(*T) *string) setting[T] {
+func advertisedAddress[T any](section, key, description string, field func(*T) *string) setting[T] {
 	ok := func(value string) bool {
 		a, err := netip.ParseAddrPort(value)
 		return err == nil && !a.Addr().IsUnspecified()
 	}
 	want := "an IP address of this VM and a port such as 10.0.0.7:8082, not 0.0.0.0"
-	return text(Info{Section: section, Key: key, Want: want, Meaning: meaning}, ok, field)
+	return text(Info{Section: section, Key: key, Accepts: want, Description: description}, ok, field)
 }
 
 // addresses returns a setting that holds addresses of other VMs, or nothing.
-func addresses[T any](section, key, meaning string, field func(*T) *[]string) setting[T] {
-	info := Info{Section: section, Key: key, Want: "IP addresses and ports such as 10.0.0.7:8082, separated by commas, or nothing", Meaning: meaning}
+func addresses[T any](section, key, description string, field func(*T) *[]string) setting[T] {
+	info := Info{Section: section, Key: key, Accepts: "IP addresses and ports such as 10.0.0.7:8082, separated by commas, or nothing", Description: description}
 	return setting[T]{Info: info, set: func(t *T, value string) bool {
 		var list []string
 		for part := range strings.SplitSeq(value, ",") {
@@ -110,9 +110,9 @@
 }
 
 // httpURL returns a setting that holds the base URL of an HTTP service.
-func httpURL[T any](section, key, meaning string, field func(*T) *string) setting[T] {
+func httpURL[T any](section, key, description string, field func(*T) *string) setting[T] {
 	want := "an http or https URL such as http://10.0.0.1:7000, without a query or final slash"
-	return text(Info{Section: section, Key: key, Want: want, Meaning: meaning}, isBaseURL, field)
+	return text(Info{Section: section, Key: key, Accepts: want, Description: description}, isBaseURL, field)
 }
 
 func isBaseURL(value string) bool {
@@ -125,28 +125,28 @@
 }
 
 // urlPath returns a setting that holds the path of a URL.
-func urlPath[T any](section, key, def, meaning string, field func(*T) *string) setting[T] {
+func urlPath[T any](section, key, def, description string, field func(*T) *string) setting[T] {
 	ok := func(value string) bool {
 		u, err := url.ParseRequestURI(value)
 		return err == nil && strings.HasPrefix(value, "/") && u.Path == value
 	}
-	return text(Info{Section: section, Key: key, Default: def, Want: "a path such as /load", Meaning: meaning}, ok, field)
+	return text(Info{Section: section, Key: key, Default: def, Accepts: "a path such as /load", Description: description}, ok, field)
 }
 
 // oneOf returns a setting that holds one of the given values.
-func oneOf[T any](section, key, def string, values []string, meaning string, field func(*T) *string) setting[T] {
+func oneOf[T any](section, key, def string, values []string, description string, field func(*T) *string) setting[T] {
 	ok := func(value string) bool { return slices.Contains(values, value) }
 	want := strings.Join(values, ", ")
 	if len(values) > 1 {
 		want = "one of " + want
 	}
-	return text(Info{Section: section, Key: key, Default: def, Want: want, Meaning: meaning}, ok, field)
+	return text(Info{Section: section, Key: key, Default: def, Accepts: want, Description: description}, ok, field)
 }
 
 // duration returns a setting that holds a duration with its unit, from lo to hi.
-func duration[T any](section, key, def string, lo, hi time.Duration, meaning string, field func(*T) *time.Duration) setting[T] {
+func duration[T any](section, key, def string, lo, hi time.Duration, description string, field func(*T) *time.Duration) setting[T] {
 	want := fmt.Sprintf("a duration from %s to %s", shortDuration(lo), shortDuration(hi))
-	info := Info{Section: section, Key: key, Default: def, Example: def, Want: want, Meaning: meaning}
+	info := Info{Section: section, Key: key, Default: def, Example: def, Accepts: want, Description: description}
 	return setting[T]{Info: info, set: func(t *T, value string) bool {
 		d, err := time.ParseDuration(value)
 		if err != nil || d < lo || d > hi {
@@ -170,9 +170,9 @@
 }
 
 // integer returns a setting that holds a whole number from lo to hi.
-func integer[T any, N int | int64](section, key, def string, lo, hi int64, unit, meaning string, field func(*T) *N) setting[T] {
+func integer[T any, N int | int64](section, key, def string, lo, hi int64, unit, description string, field func(*T) *N) setting[T] {
 	want := fmt.Sprintf("a whole number from %d to %d (%s)", lo, hi, unit)
-	info := Info{Section: section, Key: key, Default: def, Example: def, Want: want, Meaning: meaning}
+	info := Info{Section: section, Key: key, Default: def, Example: def, Accepts: want, Description: description}
 	return setting[T]{Info: info, set: func(t *T, value string) bool {
 		n, err := strconv.ParseInt(value, 10, 64)
 		if err != nil || n < lo || n > hi {
@@ -184,9 +184,9 @@
 }
 
 // number returns a setting that holds a decimal number from lo to hi.
-func number[T any](section, key, def string, lo, hi float64, unit, meaning string, field func(*T) *float64) setting[T] {
+func number[T any](section, key, def string, lo, hi float64, unit, description string, field func(*T) *float64) setting[T] {
 	want := fmt.Sprintf("a number from %s to %s (%s)", decimal(lo), decimal(hi), unit)
-	info := Info{Section: section, Key: key, Default: def, Example: def, Want: want, Meaning: meaning}
+	info := Info{Section: section, Key: key, Default: def, Example: def, Accepts: want, Description: description}
 	return setting[T]{Info: info, set: func(t *T, value string) bool {
 		n, err := strconv.ParseFloat(value, 64)
 		inRange := n >= lo && n <= hi // false for NaN
@@ -203,10 +203,10 @@
 }
 
 // notRunStatus returns a setting that holds the HTTP status of a refusal, or 0.
-func notRunStatus(key, meaning string, field func(*Service) *int) setting[Service] {
+func notRunStatus(key, description string, field func(*Service) *int) setting[Service] {
 	const lo, hi = 400, 599
-	s := integer(sectionService, key, "0", 0, hi, "", meaning, field)
-	s.Want = fmt.Sprintf("an HTTP status from %d to %d, or 0 for none", lo, hi)
+	s := integer(sectionService, key, "0", 0, hi, "", description, field)
+	s.Accepts = fmt.Sprintf("an HTTP status from %d to %d, or 0 for none", lo, hi)
 	setInRange := s.set
 	s.set = func(v *Service, value string) bool {
 		n, err := strconv.Atoi(value)
