--- a/internal/request/refusal/refusal.go
+++ b/internal/request/refusal/refusal.go
@@ -1,11 +1,12 @@
-// Package refusal holds the end of a call without a server's answer: what is known
-// of the request, and what its caller is told.
+// Package refusal describes a response that the gateway gives itself in place of a
+// server's: its code, what is known about the execution of the request, and the HTTP
+// status and body for the caller.
 //
 // # Usage
 //
-//	no := refusal.NotRun(code.CallNoRule)
-//	w.WriteHeader(no.Status())
-//	io.WriteString(w, no.Body())
+//	refused := refusal.NotRun(code.CallNoRule)
+//	w.WriteHeader(refused.Status())
+//	io.WriteString(w, refused.Body())
 package refusal
 
 import (
@@ -17,36 +18,37 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/code"
 )
 
-// Refusal is the end of a call without a server's answer.
+// Refusal is a call that ends without a server's response.
 type Refusal struct {
-	// Code says why, and Outcome what is known of the request.
+	// Code is the reason, and Outcome says whether the request was executed.
 	Code    code.Code
 	Outcome mustardsaddle.Outcome
-	// RetryAfter is when the caller should come back; 0 means the shortest wait.
+	// RetryAfter is how long the caller should wait before it retries; 0 means the
+	// minimum.
 	RetryAfter time.Duration
-	// Service is the service that the call was for; empty if no rule matched.
+	// Service is the service that the request was routed to; empty if no rule matched.
 	Service string
-	// Waited is how long the caller has waited for the refusal.
+	// Waited is the time from the start of the call to the refusal.
 	Waited time.Duration
 }
 
-// NotRun returns the refusal of a request of which no byte was sent.
+// NotRun returns the refusal of a request of which no byte was sent to a server.
 func NotRun(c code.Code) *Refusal {
 	return &Refusal{Code: c, Outcome: mustardsaddle.NotRun}
 }
 
-// Status returns the HTTP status that goes with the refusal.
-func (n *Refusal) Status() int {
-	if n.Code == code.CallClaimed {
+// Status returns the HTTP status code of the refusal.
+func (r *Refusal) Status() int {
+	if r.Code == code.CallClaimed {
 		return http.StatusConflict
 	}
-	if n.Outcome != mustardsaddle.NotRun {
-		if n.Code == code.CallDeadline {
+	if r.Outcome != mustardsaddle.NotRun {
+		if r.Code == code.CallDeadline {
 			return http.StatusGatewayTimeout
 		}
 		return http.StatusBadGateway
 	}
-	switch n.Code {
+	switch r.Code {
 	case code.CallNoRule:
 		return http.StatusNotFound
 	case code.CallBadRequest:
@@ -62,7 +64,7 @@
 	}
 }
 
-// Body returns the one line that a refused caller reads.
-func (n *Refusal) Body() string {
-	return fmt.Sprintf("Code=%d Outcome=%s\n", int(n.Code), n.Outcome)
+// Body returns the response body: one line with the code and the outcome.
+func (r *Refusal) Body() string {
+	return fmt.Sprintf("Code=%d Outcome=%s\n", int(r.Code), r.Outcome)
 }
