--- a/internal/request/connection/connection_test.go
+++ b/internal/request/connection/connection_test.go
@@ -11,7 +11,7 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/connection"
 )
 
-// pair returns the two ends of a connection.
+// pair returns the two ends of an in-memory connection.
 func pair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	near, far = net.Pipe()
@@ -23,9 +23,9 @@
 }
 
 func TestSealedConnection(t *testing.T) {
-	convey.Convey("Given a counted connection by which one write has gone", t, func() {
+	convey.Convey("Given a counted connection with one write", t, func() {
 		near, far := pair(t)
-		c := connection.NewCounted(near)
+		c := connection.NewCountedConn(near)
 		read := make(chan byte, 2)
 		go func() {
 			b := make([]byte, 1)
@@ -37,13 +37,13 @@
 		_, err := c.Write([]byte("x"))
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(<-read, convey.ShouldEqual, 'x')
-		convey.So(c.Written(), convey.ShouldEqual, 1)
-		convey.Convey("Nothing leaves once it is sealed, and the count stays", func() {
-			convey.So(c.Seal(), convey.ShouldEqual, 1)
+		convey.So(c.Writes(), convey.ShouldEqual, 1)
+		convey.Convey("After BlockWrites, a write fails and is not counted", func() {
+			convey.So(c.BlockWrites(), convey.ShouldEqual, 1)
 			_, err := c.Write([]byte("z"))
 			convey.So(err, convey.ShouldNotBeNil)
-			convey.So(c.Written(), convey.ShouldEqual, 1)
-			convey.Convey("It still reads", func() {
+			convey.So(c.Writes(), convey.ShouldEqual, 1)
+			convey.Convey("Reads still work", func() {
 				_, err := c.Read(make([]byte, 1))
 				convey.So(err, convey.ShouldBeNil)
 				convey.So(c.Reads(), convey.ShouldEqual, 1)
@@ -53,23 +53,23 @@
 }
 
 func TestIdleConnectionClosesByTheLimitInForce(t *testing.T) {
-	convey.Convey("Given a connection that went idle under a long limit", t, func() {
+	convey.Convey("Given an idle connection and a long timeout", t, func() {
 		near, far := pair(t)
-		idle := connection.NewIdle(func() time.Duration { return connection.MaxLimit })
-		idle.Changed(near, http.StateIdle)
-		convey.Convey("It stays while it has a request", func() {
-			idle.Changed(near, http.StateActive)
-			idle.Changed(near, http.StateClosed)
+		idle := connection.NewIdleCloser(func() time.Duration { return connection.MaxIdleTimeout })
+		idle.StateChanged(near, http.StateIdle)
+		convey.Convey("It stays open while it serves a request", func() {
+			idle.StateChanged(near, http.StateActive)
+			idle.StateChanged(near, http.StateClosed)
 			go func() { _, _ = near.Write([]byte("x")) }()
 			_, err := far.Read(make([]byte, 1))
 			convey.So(err, convey.ShouldBeNil)
 		})
 	})
-	convey.Convey("Given a connection that is idle under a limit below 0", t, func() {
+	convey.Convey("Given an idle connection and a negative timeout", t, func() {
 		near, far := pair(t)
-		idle := connection.NewIdle(func() time.Duration { return -time.Hour })
-		idle.Changed(near, http.StateIdle)
-		convey.Convey("It closes", func() {
+		idle := connection.NewIdleCloser(func() time.Duration { return -time.Hour })
+		idle.StateChanged(near, http.StateIdle)
+		convey.Convey("It is closed", func() {
 			_, err := far.Read(make([]byte, 1))
 			convey.So(err, convey.ShouldNotBeNil)
 		})
--- a/internal/request/connection/counted.go
+++ b/internal/request/connection/counted.go
@@ -8,44 +8,44 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/code"
 )
 
-// Counted is a connection to a server that counts its reads and writes, and that can
-// be sealed so that nothing more leaves by it.
-type Counted struct {
+// CountedConn is a connection to a server that counts reads and writes. Its writes
+// can be blocked, after which no further byte is sent.
+type CountedConn struct {
 	net.Conn
 	reads atomic.Int64
 
-	mu     sync.Mutex
-	writes int64
-	sealed bool
+	mu            sync.Mutex
+	writes        int64
+	writesBlocked bool
 }
 
-// NewCounted returns a connection by which nothing has gone yet.
-func NewCounted(c net.Conn) *Counted {
-	return &Counted{Conn: c}
+// NewCountedConn returns a connection whose counts are zero.
+func NewCountedConn(c net.Conn) *CountedConn {
+	return &CountedConn{Conn: c}
 }
 
-// Write passes a write on, or refuses it once the connection is sealed.
-func (c *Counted) Write(p []byte) (int, error) {
-	if !c.begin() {
-		return 0, code.Errorf(code.Internal, "write to %v: connection is sealed", c.RemoteAddr())
+// Write writes to the connection, or fails after BlockWrites.
+func (c *CountedConn) Write(p []byte) (int, error) {
+	if !c.countWrite() {
+		return 0, code.Errorf(code.Internal, "write to %v: writes are blocked", c.RemoteAddr())
 	}
 	return c.Conn.Write(p)
 }
 
-// begin counts a write before it leaves. A refused write is not counted, so that a
-// count that stays the same proves that nothing has left.
-func (c *Counted) begin() bool {
+// countWrite counts a write before its bytes are sent. A blocked write is not
+// counted, so an unchanged count proves that nothing was sent.
+func (c *CountedConn) countWrite() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.sealed {
+	if c.writesBlocked {
 		return false
 	}
 	c.writes++
 	return true
 }
 
-// Read counts the reads that bring bytes.
-func (c *Counted) Read(p []byte) (int, error) {
+// Read reads from the connection and counts the reads that return data.
+func (c *CountedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
 		c.reads.Add(1)
@@ -53,22 +53,22 @@
 	return n, err
 }
 
-// Written returns the number of writes until now.
-func (c *Counted) Written() int64 {
+// Writes returns the number of writes so far.
+func (c *CountedConn) Writes() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// Seal refuses all later writes and returns the number of writes until now.
-func (c *Counted) Seal() int64 {
+// BlockWrites makes all later writes fail, and returns the number of writes so far.
+func (c *CountedConn) BlockWrites() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sealed = true
+	c.writesBlocked = true
 	return c.writes
 }
 
-// Reads returns the number of reads that brought bytes.
-func (c *Counted) Reads() int64 {
+// Reads returns the number of reads that returned data.
+func (c *CountedConn) Reads() int64 {
 	return c.reads.Load()
 }
--- a/internal/request/connection/framing.go
+++ b/internal/request/connection/framing.go
@@ -14,24 +14,25 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/refusal"
 )
 
-// libraryHeader is the header of the answers that net/http gives by itself to a
-// request that it cannot read. The answers of handlers have a Date.
-const libraryHeader = "\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n"
+// defaultErrorHeader is the header that net/http sends with its own error responses
+// to requests that it cannot parse. It matches no response of a handler, since those
+// have a Date.
+const defaultErrorHeader = "\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n"
 
-// NewFramed returns a listener whose connections add the numbered code and the
-// outcome to what net/http refuses by itself: conflicting lengths, an unknown
-// transfer encoding, a header above the limit.
-func NewFramed(ln net.Listener, logger zerolog.Logger) net.Listener {
-	return &framed{Listener: ln, logger: logger}
+// NewErrorListener returns a listener whose connections add the result code and the
+// outcome to the error responses that net/http sends itself: for conflicting
+// lengths, an unknown transfer encoding, or a header above the size limit.
+func NewErrorListener(ln net.Listener, logger zerolog.Logger) net.Listener {
+	return &errorListener{Listener: ln, logger: logger}
 }
 
-type framed struct {
+type errorListener struct {
 	net.Listener
 	logger zerolog.Logger
 }
 
 // Accept returns the next connection.
-func (l *framed) Accept() (net.Conn, error) {
+func (l *errorListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -39,35 +40,35 @@
 	return &callerConn{Conn: c, logger: l.logger}, nil
 }
 
-// callerConn is a connection of a caller.
+// callerConn is a connection from a caller.
 type callerConn struct {
 	net.Conn
 	logger zerolog.Logger
 }
 
-// Write replaces an answer of net/http's own by one with code and outcome.
+// Write replaces an error response of net/http by one with code and outcome.
 func (c *callerConn) Write(p []byte) (int, error) {
-	status, _, ok := bytes.Cut(p, []byte(libraryHeader))
+	status, _, ok := bytes.Cut(p, []byte(defaultErrorHeader))
 	if !ok || len(status) > 200 || !bytes.HasPrefix(status, []byte("HTTP/1.1 ")) {
 		return c.Conn.Write(p)
 	}
-	n := refusal.NotRun(code.CallBadRequest)
+	refused := refusal.NotRun(code.CallBadRequest)
 	if bytes.HasPrefix(status, []byte("HTTP/1.1 "+strconv.Itoa(http.StatusRequestHeaderFieldsTooLarge))) {
-		n = refusal.NotRun(code.CallTooLarge)
+		refused = refusal.NotRun(code.CallTooLarge)
 	}
-	event.Warn(c.logger, event.CallRefused).Bytes("Status", status).Int("Code", int(n.Code)).
-		Str("Outcome", n.Outcome.String()).Send()
-	body := n.Body()
-	answer := append(bytes.Clone(status), "\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\nContent-Length: "+
-		strconv.Itoa(len(body))+"\r\n"+header.Code+": "+strconv.Itoa(int(n.Code))+"\r\n"+header.Outcome+": "+n.Outcome.String()+
+	event.Warn(c.logger, event.CallRefused).Bytes("Status", status).Int("Code", int(refused.Code)).
+		Str("Outcome", refused.Outcome.String()).Send()
+	body := refused.Body()
+	response := append(bytes.Clone(status), "\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\nContent-Length: "+
+		strconv.Itoa(len(body))+"\r\n"+header.Code+": "+strconv.Itoa(int(refused.Code))+"\r\n"+header.Outcome+": "+refused.Outcome.String()+
 		"\r\n\r\n"+body...)
-	if _, err := c.Conn.Write(answer); err != nil {
+	if _, err := c.Conn.Write(response); err != nil {
 		return 0, err
 	}
 	return len(p), nil
 }
 
-// SetLinger sets how the connection closes, if it is one of TCP.
+// SetLinger sets the linger time of a TCP connection; for others it does nothing.
 func (c *callerConn) SetLinger(seconds int) error {
 	if tcp, ok := c.Conn.(Lingerer); ok {
 		return tcp.SetLinger(seconds)
@@ -75,8 +76,8 @@
 	return nil
 }
 
-// CloseWrite closes the way to the caller, so that net/http can end a connection
-// whose request it did not read whole without losing its answer.
+// CloseWrite closes the sending side. net/http uses it when it closes a connection
+// without reading the whole request, so that its response is not lost.
 func (c *callerConn) CloseWrite() error {
 	if tcp, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return tcp.CloseWrite()
@@ -86,7 +87,8 @@
 
 // Lingerer is a connection that can be reset instead of closed.
 type Lingerer interface {
-	// SetLinger sets how many seconds unsent bytes are kept after the close; 0 resets.
+	// SetLinger sets for how many seconds unsent data is kept after the close; 0 makes
+	// the close reset the connection.
 	SetLinger(seconds int) error
 }
 
--- a/internal/request/connection/idle.go
+++ b/internal/request/connection/idle.go
@@ -1,16 +1,17 @@
-// Package connection holds what a gateway adds to connections: callers' ones are
-// closed when they stay without a request, and those to servers are counted, so that
-// it is known whether anything has left by them.
+// Package connection wraps the gateway's connections. Idle connections from callers
+// are closed after a timeout that can change while they are open. Connections to
+// servers count their writes, so that the gateway knows whether any byte of a request
+// was sent.
 //
 // # Usage
 //
-//	idle := connection.NewIdle(limit)
-//	server := &http.Server{ConnState: idle.Changed, IdleTimeout: connection.MaxIdle}
+//	idle := connection.NewIdleCloser(timeout)
+//	server := &http.Server{ConnState: idle.StateChanged, IdleTimeout: connection.ServerIdleTimeout}
 //
-//	c := connection.NewCounted(conn)
-//	before := c.Written()
+//	c := connection.NewCountedConn(conn)
+//	before := c.Writes()
 //	...
-//	nothingLeft := c.Seal() == before
+//	nothingSent := c.BlockWrites() == before
 package connection
 
 import (
@@ -21,64 +22,67 @@
 )
 
 const (
-	// idleMargin is added to the time for which callers' connections are kept, so
-	// that none is closed as its caller is about to use it once more.
-	idleMargin = 2 * time.Second
-	// MaxLimit bounds that time whatever the rules say.
-	MaxLimit = time.Hour
-	// MaxIdle is longer than any connection stays open without a request.
-	MaxIdle = MaxLimit + 2*idleMargin
+	// idleTimeoutMargin is added to the idle timeout of callers' connections, so that
+	// a connection is not closed just as its caller sends the next request.
+	idleTimeoutMargin = 2 * time.Second
+	// MaxIdleTimeout bounds the idle timeout that the rules can set.
+	MaxIdleTimeout = time.Hour
+	// ServerIdleTimeout exceeds every idle timeout with its margin. As
+	// http.Server.IdleTimeout it never takes effect before IdleCloser.
+	ServerIdleTimeout = MaxIdleTimeout + 2*idleTimeoutMargin
 )
 
-// Idle closes callers' connections that stay without a request. The time may
-// change with the rules while connections are open.
-type Idle struct {
-	// limit returns the time for which a connection is kept now.
-	limit func() time.Duration
+// IdleCloser closes callers' connections that have been idle for longer than the
+// timeout. The timeout may change with the rules while connections are open.
+type IdleCloser struct {
+	// timeout returns the current idle timeout.
+	timeout func() time.Duration
 
-	mu   sync.Mutex
-	idle map[net.Conn]*idleConn
+	mu    sync.Mutex
+	conns map[net.Conn]*idleConn
 }
 
-// idleConn is a connection without a request.
+// idleConn is a connection without a request in progress.
 type idleConn struct {
 	since time.Time
 	timer *time.Timer
 }
 
-// NewIdle returns an Idle that keeps connections for the time that limit returns.
-func NewIdle(limit func() time.Duration) *Idle {
-	return &Idle{limit: limit, idle: make(map[net.Conn]*idleConn)}
+// NewIdleCloser returns an IdleCloser that calls timeout for the current idle
+// timeout.
+func NewIdleCloser(timeout func() time.Duration) *IdleCloser {
+	return &IdleCloser{timeout: timeout, conns: make(map[net.Conn]*idleConn)}
 }
 
-// Changed takes each change of state of a connection.
-func (i *Idle) Changed(c net.Conn, state http.ConnState) {
+// StateChanged tracks the state of a connection. It is the ConnState hook of an
+// http.Server.
+func (i *IdleCloser) StateChanged(c net.Conn, state http.ConnState) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if known := i.idle[c]; known != nil {
-		known.timer.Stop()
-		delete(i.idle, c)
+	if entry := i.conns[c]; entry != nil {
+		entry.timer.Stop()
+		delete(i.conns, c)
 	}
 	if state != http.StateIdle {
 		return
 	}
-	d := i.limit() + idleMargin
-	i.idle[c] = &idleConn{since: time.Now(), timer: time.AfterFunc(d, func() { i.expire(time.Now(), c) })}
+	d := i.timeout() + idleTimeoutMargin
+	i.conns[c] = &idleConn{since: time.Now(), timer: time.AfterFunc(d, func() { i.expire(time.Now(), c) })}
 }
 
-// expire closes a connection that has been idle for long enough, by the time that
-// holds now.
-func (i *Idle) expire(now time.Time, c net.Conn) {
+// expire closes a connection that has been idle for longer than the current
+// timeout, or else waits for the rest of it.
+func (i *IdleCloser) expire(now time.Time, c net.Conn) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	known := i.idle[c]
-	if known == nil {
+	entry := i.conns[c]
+	if entry == nil {
 		return
 	}
-	if left := i.limit() + idleMargin - now.Sub(known.since); left > 0 {
-		known.timer.Reset(left)
+	if left := i.timeout() + idleTimeoutMargin - now.Sub(entry.since); left > 0 {
+		entry.timer.Reset(left)
 		return
 	}
-	delete(i.idle, c)
+	delete(i.conns, c)
 	_ = c.Close()
 }
--- a/internal/request/connection/transport.go
+++ b/internal/request/connection/transport.go
@@ -10,34 +10,33 @@
 )
 
 const (
-	// maxResponseHeaderBytes bounds the header of a server's answer.
+	// maxResponseHeaderBytes bounds the response header of a server.
 	maxResponseHeaderBytes = 256 << 10
-	// continueTimeout is how long a request with Expect waits for the server's
-	// go-ahead before it sends its body.
-	continueTimeout = time.Second
-	// keepAliveInterval is the time between probes of an idle TCP connection.
+	// expectContinueTimeout is how long a request with "Expect: 100-continue" waits
+	// for the server's 100 response before it sends its body.
+	expectContinueTimeout = time.Second
+	// keepAliveInterval is the interval of TCP keep-alive probes.
 	keepAliveInterval = 5 * time.Second
 )
 
-// AliveWindow is how long a connection counts as proved alive by an answer.
+// AliveWindow is how long after a response a connection is assumed to be alive.
 const AliveWindow = 100 * time.Millisecond
 
-// IdlePerHost is how many unused connections to one server are kept.
+// IdlePerHost is the number of idle connections that are kept for each server.
 const IdlePerHost = 4
 
 // TransportConfig configures a transport.
 type TransportConfig struct {
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout bounds the time to open a connection.
 	DialTimeout time.Duration
-	// IdleTimeout is how long an unused connection is kept.
+	// IdleTimeout is how long an idle connection is kept.
 	IdleTimeout time.Duration
-	// Reuse lets connections serve many requests, one after another. Without it each
-	// request has a new connection, and so none can meet one that is stale or
-	// silent.
+	// Reuse enables HTTP keep-alive. Without it each request has a connection of its
+	// own, and so cannot fail on a stale or unresponsive one.
 	Reuse bool
 }
 
-// NewTransport returns the connection library, over counted connections.
+// NewTransport returns an http.Transport whose connections are of type CountedConn.
 func NewTransport(cfg TransportConfig) *http.Transport {
 	dialer := &net.Dialer{Timeout: cfg.DialTimeout, KeepAlive: keepAliveInterval}
 	return &http.Transport{
@@ -46,20 +45,20 @@
 			if err != nil {
 				return nil, err
 			}
-			return NewCounted(c), nil
+			return NewCountedConn(c), nil
 		},
 		DisableCompression:     true,
 		DisableKeepAlives:      !cfg.Reuse,
 		MaxIdleConnsPerHost:    IdlePerHost,
 		IdleConnTimeout:        cfg.IdleTimeout,
-		ExpectContinueTimeout:  continueTimeout,
+		ExpectContinueTimeout:  expectContinueTimeout,
 		MaxResponseHeaderBytes: maxResponseHeaderBytes,
 	}
 }
 
-// NeverResend gives a request without a body one that is not nil and of unknown
-// length, which stops http.Transport from resending the request by itself. The
-// encoding stops it from announcing the body.
+// NeverResend replaces the body of a request without one by an empty body of
+// unknown length, which stops http.Transport from resending the request by itself.
+// The transfer encoding "identity" keeps it from announcing a chunked body.
 func NeverResend(out *http.Request) {
 	out.Body, out.ContentLength = io.NopCloser(bytes.NewReader(nil)), -1
 	out.TransferEncoding = []string{"identity"}
--- a/internal/request/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -36,7 +36,7 @@
 	via       manner
 
 	body       io.Closer
-	conn       *connection.Counted
+	conn       *connection.CountedConn
 	baseWrites int64
 	baseReads  int64
 	reused     bool
@@ -63,7 +63,7 @@
 func (a *attempt) send(extra func(http.Header)) {
 	a.sent = time.Now()
 	a.roundTrip(extra)
-	if a.stale && a.err != nil && a.conn.Seal() == a.baseWrites {
+	if a.stale && a.err != nil && a.conn.BlockWrites() == a.baseWrites {
 		a.conn, a.reused, a.stale, a.via = nil, false, false, newConnection
 		a.roundTrip(extra)
 	}
@@ -121,19 +121,19 @@
 // silent resend of http.Transport: nothing may leave by it. Nor may anything leave
 // by a connection that has been idle too long for the attempt.
 func (a *attempt) gotConn(info httptrace.GotConnInfo) {
-	cn, ok := info.Conn.(*connection.Counted)
+	cn, ok := info.Conn.(*connection.CountedConn)
 	if !ok {
 		return
 	}
 	if a.conn != nil {
-		cn.Seal()
+		cn.BlockWrites()
 		return
 	}
 	a.conn, a.reused = cn, info.Reused
-	a.baseWrites, a.baseReads = cn.Written(), cn.Reads()
+	a.baseWrites, a.baseReads = cn.Writes(), cn.Reads()
 	if a.via == aliveConnection && info.IdleTime > connection.AliveWindow {
 		a.stale = true
-		cn.Seal()
+		cn.BlockWrites()
 	}
 }
 
@@ -149,7 +149,7 @@
 func (a *attempt) classify() {
 	if a.err != nil {
 		a.outcome = mustardsaddle.Unknown
-		if a.conn == nil || a.conn.Seal() == a.baseWrites {
+		if a.conn == nil || a.conn.BlockWrites() == a.baseWrites {
 			a.outcome = mustardsaddle.NotRun
 		}
 		return
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -217,7 +217,7 @@
 // Listener returns a listener for the callers' address. What net/http refuses by
 // itself gets a code and an outcome there.
 func (g *Gateway) Listener(ln net.Listener) net.Listener {
-	return connection.NewFramed(ln, g.cfg.Logger)
+	return connection.NewErrorListener(ln, g.cfg.Logger)
 }
 
 // InFlight returns how many calls are being served.
--- a/internal/request/gateway/server.go
+++ b/internal/request/gateway/server.go
@@ -37,7 +37,7 @@
 func NewServer(cfg ServerConfig) *http.Server {
 	setDefault(&cfg.HeaderBytes, defaultHeaderBytes)
 	setDefault(&cfg.HeaderTimeout, defaultHeaderTimeout)
-	idle := connection.NewIdle(cfg.Handler.idleLimit)
+	idle := connection.NewIdleCloser(cfg.Handler.idleLimit)
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
@@ -45,8 +45,8 @@
 		Handler:           cfg.Handler,
 		MaxHeaderBytes:    cfg.HeaderBytes,
 		ReadHeaderTimeout: cfg.HeaderTimeout,
-		IdleTimeout:       connection.MaxIdle,
-		ConnState:         idle.Changed,
+		IdleTimeout:       connection.ServerIdleTimeout,
+		ConnState:         idle.StateChanged,
 		Protocols:         protocols,
 		HTTP2:             &http.HTTP2Config{MaxConcurrentStreams: maxStreams},
 		ErrorLog:          log.New(cfg.Logger, "", 0),
@@ -56,7 +56,7 @@
 // idleLimit returns how long a caller's connection is kept without a request.
 func (g *Gateway) idleLimit() time.Duration {
 	if table := g.rules.Load(); table != nil && table.Idle() > 0 {
-		return min(table.Idle(), connection.MaxLimit)
+		return min(table.Idle(), connection.MaxIdleTimeout)
 	}
 	return defaultCallerIdle
 }
