--- a/internal/request/gateway/answer.go
+++ b/internal/request/gateway/answer.go
@@ -11,47 +11,48 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/slot"
 )
 
-// refuse answers at once with what is known and when to come back.
-func (g *Gateway) refuse(w http.ResponseWriter, r *http.Request, attempt string, n *refusal.Refusal) {
-	status := n.Status()
-	line := g.name(event.Warn(g.cfg.Logger, event.CallRefused), r).Str("Method", r.Method).Str("Path", r.URL.Path).
-		Str("Attempt", attempt).Int("Status", status).Int("Code", int(n.Code)).Str("Outcome", n.Outcome.String())
-	if n.Service != "" {
-		line = line.Str("Service", n.Service).Dur("Waited", n.Waited)
+// refuse sends a refusal to the caller: the code, the outcome and when to retry.
+func (g *Gateway) refuse(w http.ResponseWriter, r *http.Request, attempt string, refused *refusal.Refusal) {
+	status := refused.Status()
+	line := g.withRequestID(event.Warn(g.cfg.Logger, event.CallRefused), r).Str("Method", r.Method).Str("Path", r.URL.Path).
+		Str("Attempt", attempt).Int("Status", status).Int("Code", int(refused.Code)).Str("Outcome", refused.Outcome.String())
+	if refused.Service != "" {
+		line = line.Str("Service", refused.Service).Dur("Waited", refused.Waited)
 	}
-	if n.RetryAfter > 0 {
-		line = line.Dur("RetryAfter", n.RetryAfter)
+	if refused.RetryAfter > 0 {
+		line = line.Dur("RetryAfter", refused.RetryAfter)
 	}
 	line.Send()
 	h := w.Header()
-	h.Set(header.Outcome, n.Outcome.String())
-	h.Set(header.Code, strconv.Itoa(int(n.Code)))
+	h.Set(header.Outcome, refused.Outcome.String())
+	h.Set(header.Code, strconv.Itoa(int(refused.Code)))
 	if attempt != "" {
 		h.Set(header.Attempt, attempt)
 	}
 	if status == http.StatusTooManyRequests || status >= http.StatusInternalServerError {
-		h.Set("Retry-After", g.cfg.retryAfter(n.RetryAfter))
+		h.Set("Retry-After", g.cfg.retryAfter(refused.RetryAfter))
 	}
-	body := n.Body()
+	body := refused.Body()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	g.extend(w)
+	g.extendWriteDeadline(w)
 	w.WriteHeader(status)
 	_, _ = w.Write([]byte(body))
 }
 
-// minFraction is the shortest wait that is told to callers who understand fractions.
-const minFraction = 50 * time.Millisecond
+// minFractionalRetryAfter is the minimum of Retry-After for callers that accept
+// fractional seconds.
+const minFractionalRetryAfter = 50 * time.Millisecond
 
-// minRetryAfter returns the shortest wait that a refused caller can be told.
+// minRetryAfter returns the minimum of Retry-After.
 func (cfg Config) minRetryAfter() time.Duration {
 	if cfg.Headers.FractionalRetryAfter {
-		return minFraction
+		return minFractionalRetryAfter
 	}
 	return time.Second
 }
 
-// retryAfter renders a wait for the Retry-After header.
+// retryAfter formats a delay as the value of Retry-After.
 func (cfg Config) retryAfter(d time.Duration) string {
 	d = max(d, cfg.minRetryAfter())
 	if cfg.Headers.FractionalRetryAfter {
@@ -60,8 +61,8 @@
 	return strconv.Itoa(slot.Seconds(d))
 }
 
-// extend gives the caller's connection time to take what is written next. The
-// error is that of a writer that has no deadlines.
-func (g *Gateway) extend(w http.ResponseWriter) {
+// extendWriteDeadline restarts the write deadline of the caller's connection. The
+// error is ignored because it only reports a writer without deadlines.
+func (g *Gateway) extendWriteDeadline(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(g.cfg.Progress))
 }
--- a/internal/request/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -19,29 +19,28 @@
 )
 
 var (
-	errDeadline = errors.New("wait for response header: deadline passed")
-	errProgress = errors.New("read response body: no progress")
-	errLost     = errors.New("wait for response header: another attempt answered first")
-	errOver     = errors.New("call is over")
+	errDeadline   = errors.New("wait for response header: deadline exceeded")
+	errStalled    = errors.New("read response body: no progress")
+	errSuperseded = errors.New("wait for response header: another attempt answered first")
+	errFinished   = errors.New("attempt has finished")
 )
 
-// attempt is one sending of a call's request to one server, and what became of
-// it.
+// attempt sends a call's request to one server, and holds the result.
 type attempt struct {
 	c         *call
 	id        string
 	placement admission.Placement
 	ctx       context.Context
 	cancel    context.CancelCauseFunc
-	via       manner
+	policy    connectionPolicy
 
-	body       io.Closer
-	conn       *connection.CountedConn
-	baseWrites int64
-	baseReads  int64
-	reused     bool
-	stale      bool
-	sent       time.Time
+	body         io.Closer
+	conn         *connection.CountedConn
+	writesBefore int64
+	readsBefore  int64
+	reused       bool
+	stale        bool
+	sentAt       time.Time
 
 	resp     *http.Response
 	err      error
@@ -52,35 +51,38 @@
 }
 
 // newAttempt prepares an attempt and logs the routing decision.
-func (c *call) newAttempt(p admission.Placement, via manner) *attempt {
-	a := &attempt{c: c, id: c.g.nextAttempt(), placement: p, via: via}
+func (c *call) newAttempt(p admission.Placement, policy connectionPolicy) *attempt {
+	a := &attempt{c: c, id: c.g.nextAttempt(), placement: p, policy: policy}
 	a.ctx, a.cancel = context.WithCancelCause(c.r.Context())
 	c.logRoute(a)
 	return a
 }
 
-// send sends the request once and classifies the outcome.
-func (a *attempt) send(extra func(http.Header)) {
-	a.sent = time.Now()
-	a.roundTrip(extra)
-	if a.stale && a.err != nil && a.conn.BlockWrites() == a.baseWrites {
-		a.conn, a.reused, a.stale, a.via = nil, false, false, newConnection
-		a.roundTrip(extra)
+// send sends the request once and classifies the outcome. If the connection had
+// been idle for too long and nothing was written to it, the request is sent on a
+// new one.
+func (a *attempt) send(setHeaders func(http.Header)) {
+	a.sentAt = time.Now()
+	a.roundTrip(setHeaders)
+	if a.stale && a.err != nil && a.conn.BlockWrites() == a.writesBefore {
+		a.conn, a.reused, a.stale, a.policy = nil, false, false, newConnection
+		a.roundTrip(setHeaders)
 	}
-	a.latency = time.Since(a.sent)
-	a.c.m.lane.Metrics.Attempts.Inc(1)
+	a.latency = time.Since(a.sentAt)
+	a.c.match.lane.Metrics.Attempts.Inc(1)
 	a.classify()
 }
 
-// roundTrip hands the request to the connection library.
-func (a *attempt) roundTrip(extra func(http.Header)) {
+// roundTrip passes the request to the transport that the connection policy
+// requires.
+func (a *attempt) roundTrip(setHeaders func(http.Header)) {
 	out := a.request()
-	if extra != nil {
-		extra(out.Header)
+	if setHeaders != nil {
+		setHeaders(out.Header)
 	}
-	transport := a.c.g.reuse
-	if a.via == newConnection {
-		transport = a.c.g.fresh
+	transport := a.c.g.pooled
+	if a.policy == newConnection {
+		transport = a.c.g.unpooled
 	}
 	a.body = out.Body
 	a.resp, a.err = transport.RoundTrip(out) //nolint:bodyclose // finish closes it
@@ -113,13 +115,14 @@
 	if c.body.empty {
 		delete(out.Header, "Expect")
 	}
-	c.body.put(out, a.via != newConnection)
+	c.body.attach(out, a.policy != newConnection)
 	return out
 }
 
-// gotConn notes the connection that carries the attempt. A second one would be a
-// silent resend of http.Transport: nothing may leave by it. Nor may anything leave
-// by a connection that has been idle too long for the attempt.
+// gotConn records the connection of the attempt. A second connection means that
+// http.Transport is resending the request by itself, so its writes are blocked.
+// They are also blocked if the connection has been idle for longer than the policy
+// allows.
 func (a *attempt) gotConn(info httptrace.GotConnInfo) {
 	cn, ok := info.Conn.(*connection.CountedConn)
 	if !ok {
@@ -130,14 +133,15 @@
 		return
 	}
 	a.conn, a.reused = cn, info.Reused
-	a.baseWrites, a.baseReads = cn.Writes(), cn.Reads()
-	if a.via == aliveConnection && info.IdleTime > connection.AliveWindow {
+	a.writesBefore, a.readsBefore = cn.Writes(), cn.Reads()
+	if a.policy == aliveConnection && info.IdleTime > connection.AliveWindow {
 		a.stale = true
 		cn.BlockWrites()
 	}
 }
 
-// informational returns the function that relays 1xx answers of the first attempt.
+// informational returns the function that relays 1xx responses; only the first
+// attempt of a call has one.
 func (a *attempt) informational() func(int, textproto.MIMEHeader) error {
 	if a.placement.Kind != 0 {
 		return nil
@@ -145,32 +149,33 @@
 	return a.c.relayInformational
 }
 
-// classify decides the outcome from what was written and what came back.
+// classify determines the outcome from what was written and what was received.
 func (a *attempt) classify() {
 	if a.err != nil {
 		a.outcome = mustardsaddle.Unknown
-		if a.conn == nil || a.conn.BlockWrites() == a.baseWrites {
+		if a.conn == nil || a.conn.BlockWrites() == a.writesBefore {
 			a.outcome = mustardsaddle.NotRun
 		}
 		return
 	}
 	switch {
-	case !a.ours():
+	case !a.matchesRequest():
 		a.mismatch = true
 		a.outcome = mustardsaddle.Unknown
 	case a.declaredNotRun():
 		a.shed = true
 		a.outcome = mustardsaddle.NotRun
-	case a.otherInstance():
+	case a.misdirected():
 		a.outcome = mustardsaddle.NotRun
 	default:
 		a.outcome = mustardsaddle.Ran
 	}
 }
 
-// ours reports whether the answer belongs to the attempt: it echoes no other id,
-// and a successful one has the signature that it must have.
-func (a *attempt) ours() bool {
+// matchesRequest reports whether the response belongs to this attempt: it must not
+// echo a different id, and a successful response must have the signature header if
+// one is configured.
+func (a *attempt) matchesRequest() bool {
 	names, h := a.c.g.cfg.Headers, a.resp.Header
 	if echoed := h.Get(header.Attempt); echoed != "" && echoed != a.id {
 		return false
@@ -182,45 +187,49 @@
 	return !success || names.Signature == "" || h.Get(names.Signature) != ""
 }
 
-// declaredNotRun reports whether the server says that it did not run the request.
+// declaredNotRun reports whether the server states that it did not execute the
+// request.
 func (a *attempt) declaredNotRun() bool {
 	h := a.resp.Header
 	if name := a.c.g.cfg.Headers.NotRun; name != "" && h.Get(name) != "" {
 		return true
 	}
-	declared := a.c.g.cfg.Services[a.c.m.lane.Service]
+	declared := a.c.g.cfg.Services[a.c.match.lane.Service]
 	return declared.NotRunStatus != 0 && a.resp.StatusCode == declared.NotRunStatus && h.Get(declared.NotRunHeader) != ""
 }
 
-// otherInstance reports whether another server has the address.
-func (a *attempt) otherInstance() bool {
+// misdirected reports whether the server answered 421 because another instance now
+// has the address. It is always false unless requests name the instance.
+func (a *attempt) misdirected() bool {
 	return a.c.g.cfg.Headers.Instance != "" && a.resp.StatusCode == http.StatusMisdirectedRequest
 }
 
-// observe passes on the load report of the answer.
-func (a *attempt) observe() {
-	if a.resp == nil || a.mismatch || a.otherInstance() {
+// observeLoadReport passes on the load report in the response header.
+func (a *attempt) observeLoadReport() {
+	if a.resp == nil || a.mismatch || a.misdirected() {
 		return
 	}
-	a.c.m.lane.ObserveHeader(time.Now(), a.placement.Choice.Server.Name, a.resp.Header)
+	a.c.match.lane.ObserveHeader(time.Now(), a.placement.Choice.Server.Name, a.resp.Header)
 }
 
-// silent reports whether a connection that had served before carried nothing back.
+// silent reports whether a reused connection returned nothing while the caller was
+// still waiting.
 func (a *attempt) silent() bool {
 	return a.err != nil && a.reused && a.ctx.Err() != nil && a.c.r.Context().Err() == nil &&
-		a.conn.Reads() == a.baseReads
+		a.conn.Reads() == a.readsBefore
 }
 
-// finish ends the attempt: its connection is closed unless the answer was read to
-// its end, and its place is passed on.
+// finish releases the attempt and reports its result to the server selection, which
+// gives the server's capacity to the next queued call. The connection is closed
+// unless the response was read to its end.
 func (a *attempt) finish() {
 	_ = a.body.Close()
 	if a.resp != nil {
 		_ = a.resp.Body.Close()
 	}
 	canceled := a.ctx.Err() != nil
-	a.cancel(errOver)
-	l := a.c.m.lane
+	a.cancel(errFinished)
+	l := a.c.match.lane
 	if a.silent() {
 		l.Metrics.Silent.Inc(1)
 		event.Info(a.c.g.cfg.Logger, event.ConnectionSilent).Str("Attempt", a.id).
@@ -231,37 +240,37 @@
 		Server:   a.placement.Choice.Server.Name,
 		Outcome:  a.outcome,
 		Shed:     a.shed,
-		Gone:     a.resp != nil && a.otherInstance(),
-		Failed:   a.failed() && (!canceled || timedOut),
+		Gone:     a.resp != nil && a.misdirected(),
+		Failed:   a.isServerFault() && (!canceled || timedOut),
 		Canceled: canceled && !timedOut,
 		Latency:  a.latency,
 	}, a.outcome == mustardsaddle.Ran && !canceled)
 }
 
-// patienceEnd is the part of a call's time, in percent, after which a caller that
-// leaves has waited as long as it said.
-const patienceEnd = 90
+// callerTimeoutPercent is the percentage of a call's timeout after which a request
+// that its caller cancels counts as timed out.
+const callerTimeoutPercent = 90
 
-// timedOut reports whether the attempt ended since the server took too long. A caller
-// mostly leaves a moment before its deadline passes here, and says the same by that.
+// timedOut reports whether the server took too long. Most callers cancel shortly
+// before the gateway's own deadline passes, and that counts as a timeout too.
 func (a *attempt) timedOut() bool {
 	cause := context.Cause(a.ctx)
-	if errors.Is(cause, errDeadline) || errors.Is(cause, errProgress) {
+	if errors.Is(cause, errDeadline) || errors.Is(cause, errStalled) {
 		return true
 	}
-	left := a.c.r.Context().Err() != nil && a.resp == nil
-	return left && a.latency >= a.c.m.deadline*patienceEnd/100
+	callerCanceled := a.c.r.Context().Err() != nil && a.resp == nil
+	return callerCanceled && a.latency >= a.c.match.deadline*callerTimeoutPercent/100
 }
 
-// failed reports whether the attempt speaks against the server.
-func (a *attempt) failed() bool {
+// isServerFault reports whether the result counts as a failure of the server.
+func (a *attempt) isServerFault() bool {
 	if a.err != nil || a.mismatch {
 		return true
 	}
 	return !a.shed && a.resp != nil && a.resp.StatusCode >= http.StatusInternalServerError
 }
 
-// code returns the result code that says why the attempt brought no answer.
+// code returns the result code for an attempt without a usable response.
 func (a *attempt) code() code.Code {
 	_, tooLarge := a.c.body.state()
 	switch {
--- a/internal/request/gateway/bench_test.go
+++ b/internal/request/gateway/bench_test.go
@@ -15,19 +15,20 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/gateway"
 )
 
-// newTarget returns a server that answers 200 bytes at once, with a load report.
-func newTarget(b *testing.B) *httptest.Server {
-	answer := []byte(strings.Repeat("x", 200))
+// newEndpointServer returns a server that responds with 200 bytes and a load
+// report.
+func newEndpointServer(b *testing.B) *httptest.Server {
+	response := []byte(strings.Repeat("x", 200))
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set(report.Header, report.Format(1, 2, false))
-		_, _ = w.Write(answer)
+		_, _ = w.Write(response)
 	}))
 	b.Cleanup(s.Close)
 	return s
 }
 
-// call sends one request and drains the answer.
+// call sends one request and discards the response body.
 func call(b *testing.B, client http.RoundTripper, method, url string) {
 	r, _ := http.NewRequest(method, url, strings.NewReader("a lathe"))
 	if method == http.MethodGet {
@@ -45,46 +46,47 @@
 	}
 }
 
-// BenchmarkCall compares a call to the server with one through the gateway, whose
-// log goes nowhere or is off. Added latency and allocations are the difference.
+// BenchmarkCall compares a direct call to the server with one through the gateway,
+// with its log discarded or disabled. The differences are the latency and
+// allocations that the gateway adds.
 func BenchmarkCall(b *testing.B) {
-	target := newTarget(b)
+	target := newEndpointServer(b)
 	address := strings.TrimPrefix(target.URL, "http://")
 	off, _ := newGateway(b, gateway.Config{Logger: zerolog.Nop()}, address)
 	logged, _ := newGateway(b, gateway.Config{Logger: zerolog.New(io.Discard)}, address)
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
-		for _, way := range []struct{ name, url string }{
+		for _, variant := range []struct{ name, url string }{
 			{"Direct", target.URL}, {"GatewayNoLog", off.URL}, {"Gateway", logged.URL},
 		} {
-			b.Run(method+"/"+way.name, func(b *testing.B) {
+			b.Run(method+"/"+variant.name, func(b *testing.B) {
 				client := &http.Transport{}
 				defer client.CloseIdleConnections()
-				took := make([]time.Duration, 0, b.N)
+				latencies := make([]time.Duration, 0, b.N)
 				b.ReportAllocs()
 				for b.Loop() {
-					begun := time.Now()
-					call(b, client, method, way.url+"/bookings")
-					took = append(took, time.Since(begun))
+					start := time.Now()
+					call(b, client, method, variant.url+"/bookings")
+					latencies = append(latencies, time.Since(start))
 				}
-				slices.Sort(took)
-				b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-µs")
+				slices.Sort(latencies)
+				b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "p99-µs")
 			})
 		}
 	}
 }
 
-// BenchmarkParallel gives the calls per second of all cores that it may use, with
+// BenchmarkParallel measures the calls per second on all available cores, with
 // client, gateway and server in one process.
 func BenchmarkParallel(b *testing.B) {
-	target := newTarget(b)
+	target := newEndpointServer(b)
 	front, _ := newGateway(b, gateway.Config{Logger: zerolog.New(io.Discard)}, strings.TrimPrefix(target.URL, "http://"))
-	for _, way := range []struct{ name, url string }{{"Direct", target.URL}, {"Gateway", front.URL}} {
-		b.Run(way.name, func(b *testing.B) {
+	for _, variant := range []struct{ name, url string }{{"Direct", target.URL}, {"Gateway", front.URL}} {
+		b.Run(variant.name, func(b *testing.B) {
 			client := &http.Transport{MaxIdleConnsPerHost: 64}
 			defer client.CloseIdleConnections()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					call(b, client, http.MethodGet, way.url+"/rosters")
+					call(b, client, http.MethodGet, variant.url+"/rosters")
 				}
 			})
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "calls/s")
@@ -92,7 +94,8 @@
 	}
 }
 
-// BenchmarkRoutingLog is the cost of one routing line and one result line.
+// BenchmarkRoutingLog measures the cost of one routing log line and one result
+// line.
 func BenchmarkRoutingLog(b *testing.B) {
 	logger := zerolog.New(io.Discard)
 	b.ReportAllocs()
--- a/internal/request/gateway/body.go
+++ b/internal/request/gateway/body.go
@@ -16,49 +16,50 @@
 
 var (
 	errBodyClosed   = errors.New("read request body: attempt has ended")
-	errBodyTooLarge = errors.New("read request body: got more than the limit")
+	errBodyTooLarge = errors.New("read request body: body exceeds the size limit")
 )
 
-// requestBody is a caller's body. A small one of known length is kept whole, so
-// that every attempt can send it; any other is streamed by one attempt only.
+// requestBody is the body of a caller's request. A small body of known length is
+// buffered, so that every attempt can send it. Any other body is streamed, and only
+// one attempt can send it.
 type requestBody struct {
-	c     *call
-	empty bool
-	kept  []byte
+	c        *call
+	empty    bool
+	buffered []byte
 
-	mu       sync.Mutex
-	spent    bool
-	tooLarge bool
-	left     int64
+	mu        sync.Mutex
+	consumed  bool
+	tooLarge  bool
+	remaining int64
 }
 
-// load reads the body if it is to be kept.
-func (b *requestBody) load() *refusal.Refusal {
+// buffer reads the body into memory if it is small enough to be replayed.
+func (b *requestBody) buffer() *refusal.Refusal {
 	r, cfg := b.c.r, b.c.g.cfg
-	b.left = cfg.BodyBytes
+	b.remaining = cfg.BodyBytes
 	b.empty = r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0
 	if b.empty || r.ContentLength < 0 || r.ContentLength > cfg.ReplayBytes || r.Header["Expect"] != nil {
 		return nil
 	}
-	kept := make([]byte, r.ContentLength)
+	buffered := make([]byte, r.ContentLength)
 	rc := http.NewResponseController(b.c.w)
 	_ = rc.SetReadDeadline(time.Now().Add(cfg.Progress))
-	if _, err := io.ReadFull(r.Body, kept); err != nil {
+	if _, err := io.ReadFull(r.Body, buffered); err != nil {
 		return refusal.NotRun(code.CallBadRequest)
 	}
 	_ = rc.SetReadDeadline(time.Time{})
-	b.kept = kept
+	b.buffered = buffered
 	return nil
 }
 
-// streamed reports whether the body is sent as it comes in.
+// streamed reports whether the body is forwarded while it is received.
 func (b *requestBody) streamed() bool {
-	return !b.empty && b.kept == nil
+	return !b.empty && b.buffered == nil
 }
 
-// put gives an outgoing request its own view of the body. The view never has a
-// GetBody, so that http.Transport cannot send it again by itself.
-func (b *requestBody) put(out *http.Request, reuse bool) {
+// attach sets the body of an outgoing request. It never sets GetBody, so
+// http.Transport cannot resend the body by itself.
+func (b *requestBody) attach(out *http.Request, reuse bool) {
 	out.GetBody = nil
 	out.Trailer = nil
 	out.TransferEncoding = nil
@@ -67,75 +68,78 @@
 		connection.NeverResend(out)
 	case b.empty:
 		out.Body, out.ContentLength = http.NoBody, 0
-	case b.kept != nil:
-		out.Body, out.ContentLength = io.NopCloser(bytes.NewReader(b.kept)), int64(len(b.kept))
+	case b.buffered != nil:
+		out.Body, out.ContentLength = io.NopCloser(bytes.NewReader(b.buffered)), int64(len(b.buffered))
 	default:
 		out.Trailer = header.TrailerNames(b.c.r.Trailer)
-		out.Body, out.ContentLength = &bodyView{b: b, trailer: out.Trailer}, b.c.r.ContentLength
+		out.Body, out.ContentLength = &bodyReader{b: b, trailer: out.Trailer}, b.c.r.ContentLength
 	}
 }
 
-// bodyView is one attempt's view of a streamed body. Once closed it reads nothing
-// more, and so leaves the body whole for a later attempt if it was not begun.
-type bodyView struct {
+// bodyReader reads a streamed body for one attempt. After Close it reads nothing
+// more, so a body of which nothing was read stays available to a later attempt.
+type bodyReader struct {
 	b       *requestBody
 	trailer http.Header
 	closed  bool
 }
 
-// Read passes the caller's bytes on, and bounds how long they may stand still.
-func (v *bodyView) Read(p []byte) (int, error) {
-	if !v.begin() {
+// Read reads from the caller's body, with a limit on the time without progress.
+func (r *bodyReader) Read(p []byte) (int, error) {
+	if !r.markConsumed() {
 		return 0, errBodyClosed
 	}
-	c := v.b.c
-	c.uploading()
+	c := r.b.c
+	c.uploadProgress()
 	n, err := c.r.Body.Read(p)
-	if v.b.count(n) {
+	if r.b.addBytes(n) {
 		return 0, errBodyTooLarge
 	}
 	if err != nil {
-		c.uploaded()
+		c.uploadDone()
 	}
 	if errors.Is(err, io.EOF) {
-		for name := range v.trailer {
-			v.trailer[name] = c.r.Trailer[name]
+		for name := range r.trailer {
+			r.trailer[name] = c.r.Trailer[name]
 		}
 	}
 	return n, err
 }
 
-// begin marks the body as spent unless the view is closed.
-func (v *bodyView) begin() bool {
-	v.b.mu.Lock()
-	defer v.b.mu.Unlock()
-	if v.closed {
+// markConsumed marks the body as consumed, or returns false if the reader is
+// closed.
+func (r *bodyReader) markConsumed() bool {
+	r.b.mu.Lock()
+	defer r.b.mu.Unlock()
+	if r.closed {
 		return false
 	}
-	v.b.spent = true
+	r.b.consumed = true
 	return true
 }
 
-// Close ends the view.
-func (v *bodyView) Close() error {
-	v.b.mu.Lock()
-	defer v.b.mu.Unlock()
-	v.closed = true
+// Close stops all further reads.
+func (r *bodyReader) Close() error {
+	r.b.mu.Lock()
+	defer r.b.mu.Unlock()
+	r.closed = true
 	return nil
 }
 
-// count takes n bytes from the limit, and reports whether it is exceeded.
-func (b *requestBody) count(n int) bool {
+// addBytes counts n bytes towards the size limit, and reports whether it is
+// exceeded.
+func (b *requestBody) addBytes(n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left -= int64(n)
-	b.tooLarge = b.tooLarge || b.left < 0
+	b.remaining -= int64(n)
+	b.tooLarge = b.tooLarge || b.remaining < 0
 	return b.tooLarge
 }
 
-// state reports whether bytes were read by an attempt, and too many.
-func (b *requestBody) state() (spent, tooLarge bool) {
+// state reports whether an attempt has read from the body, and whether the body
+// exceeds the size limit.
+func (b *requestBody) state() (consumed, tooLarge bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.spent, b.tooLarge
+	return b.consumed, b.tooLarge
 }
--- a/internal/request/gateway/call.go
+++ b/internal/request/gateway/call.go
@@ -17,118 +17,121 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/slot"
 )
 
-// call is one caller's request on its way through the filters.
+// call is the state of one caller's request.
 type call struct {
 	g        *Gateway
 	w        http.ResponseWriter
 	r        *http.Request
-	m        matched
+	match    matchResult
 	start    time.Time
 	deadline time.Time
 	body     requestBody
 	timer    *time.Timer
 	request  admission.Request
-	claim    *mustardsaddle.Claim // held by this call, or nil
+	claim    *mustardsaddle.Claim // held by this call; nil if none
 
-	mu       sync.Mutex
-	state    booking.Call
-	tried    []string
-	lastID   string
-	expired  bool
-	first    *attempt
-	hedge    *attempt
-	winner   *attempt
-	answered bool
+	mu              sync.Mutex
+	state           booking.Call
+	tried           []string
+	lastAttemptID   string
+	expired         bool
+	primary         *attempt
+	hedge           *attempt
+	winner          *attempt
+	responseStarted bool
 }
 
-func newCall(g *Gateway, now time.Time, w http.ResponseWriter, r *http.Request, m matched) *call {
-	c := &call{g: g, w: w, r: r, m: m, start: now, deadline: now.Add(m.deadline)}
+func newCall(g *Gateway, now time.Time, w http.ResponseWriter, r *http.Request, m matchResult) *call {
+	c := &call{g: g, w: w, r: r, match: m, start: now, deadline: now.Add(m.deadline)}
 	c.body.c = c
-	c.request = admission.Request{Begin: c.begin, Ticket: c.ticket}
+	c.request = admission.Request{Begin: c.beginAttempt, Ticket: c.queueTicket}
 	c.state = booking.New(booking.Config{Repeat: m.repeat, Deadline: c.deadline, MaxAttempts: m.attempts})
 	c.timer = time.AfterFunc(m.deadline, c.expire)
 	return c
 }
 
-// expire gives up the attempts that are open when the deadline passes.
+// expire cancels the open attempts when the deadline passes.
 func (c *call) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.answered {
+	if c.responseStarted {
 		return
 	}
 	c.expired = true
-	for _, a := range []*attempt{c.first, c.hedge} {
+	for _, a := range []*attempt{c.primary, c.hedge} {
 		if a != nil {
 			a.cancel(errDeadline)
 		}
 	}
 }
 
-// ticket returns what the call has to say in the queue.
-func (c *call) ticket(id uint64) slot.Ticket {
-	t := slot.Ticket{ID: id, Deadline: c.deadline, Priority: c.m.rule.Priority}
-	if target := c.m.rule.Target; target > 0 {
+// queueTicket returns the call's deadline, priority and latency target for the
+// queue.
+func (c *call) queueTicket(id uint64) slot.Ticket {
+	t := slot.Ticket{ID: id, Deadline: c.deadline, Priority: c.match.rule.Priority}
+	if target := c.match.rule.Target; target > 0 {
 		t.Target = c.start.Add(target)
 		t.Patience = target / slot.PatienceShare
 	}
 	return t
 }
 
-// enter makes the attempt one that the deadline, or an answer to the other, ends.
-func (c *call) enter(a *attempt) {
+// track registers an attempt, so that it is canceled by the deadline or when
+// another attempt of the call is answered first.
+func (c *call) track(a *attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if a.placement.Kind == booking.Hedge {
 		c.hedge = a
 	} else {
-		c.first, c.hedge = a, nil
+		c.primary, c.hedge = a, nil
 	}
 	c.tried = append(c.tried, a.placement.Choice.Server.Name)
-	c.lastID = a.id
+	c.lastAttemptID = a.id
 	if c.expired {
 		a.cancel(errDeadline)
 	}
 	if c.winner != nil {
-		a.cancel(errLost)
+		a.cancel(errSuperseded)
 	}
 }
 
-// serve passes the call through admit, choose, attempt and relay.
+// serve takes the call through admission, attempts and the relay of the response.
 func (c *call) serve() {
-	if no := c.body.load(); no != nil {
-		c.refuse(no)
+	if refused := c.body.buffer(); refused != nil {
+		c.refuse(refused)
 		return
 	}
-	if c.m.repeat == mustardsaddle.RepeatClaim {
-		if no := c.takeClaim(); no != nil {
-			c.refuse(no)
+	if c.match.repeat == mustardsaddle.RepeatClaim {
+		if refused := c.takeClaim(); refused != nil {
+			c.refuse(refused)
 			return
 		}
 		defer c.settleClaim()
 	}
-	a, no := c.run()
-	if no != nil {
-		c.refuse(no)
+	a, refused := c.runAttempts()
+	if refused != nil {
+		c.refuse(refused)
 		return
 	}
 	c.relay(a)
 }
 
-// run sends attempts until one is answered or no further one is permitted.
-func (c *call) run() (*attempt, *refusal.Refusal) {
+// runAttempts sends attempts until one is answered or no further attempt is
+// permitted.
+func (c *call) runAttempts() (*attempt, *refusal.Refusal) {
 	var last *refusal.Refusal
 	for {
-		p, no := c.place()
-		if no != nil && last != nil {
-			return nil, c.giveUp(last)
+		p, refused := c.admit()
+		if refused != nil && last != nil {
+			return nil, c.finalRefusal(last)
 		}
-		if no != nil {
-			return nil, c.giveUp(no)
+		if refused != nil {
+			return nil, c.finalRefusal(refused)
 		}
-		a := c.newAttempt(p, c.manner(p))
-		c.enter(a)
-		a = c.race(a)
+		a := c.newAttempt(p, c.connectionPolicy(p))
+		c.track(a)
+		a = c.sendHedged(a)
 		if a.outcome == mustardsaddle.Ran {
 			return a, nil
 		}
@@ -136,90 +139,92 @@
 	}
 }
 
-// place asks for one more attempt and for a server to take it.
-func (c *call) place() (admission.Placement, *refusal.Refusal) {
-	blind := c.m.lane.Ask(c.r.Context(), c.servers())
-	p, no := c.m.lane.Place(c.r.Context(), time.Now(), c.request, blind)
-	if no != nil {
-		if no.Code != code.OK {
-			c.end(mustardsaddle.NotRun)
+// admit obtains permission for one more attempt and a server to send it to.
+func (c *call) admit() (admission.Placement, *refusal.Refusal) {
+	noReports := c.match.lane.Ask(c.r.Context(), c.triedServers())
+	p, refused := c.match.lane.Place(c.r.Context(), time.Now(), c.request, noReports)
+	if refused != nil {
+		if refused.Code != code.OK {
+			c.endAttempt(mustardsaddle.NotRun)
 		}
-		return p, no
+		return p, refused
 	}
 	if p.Queued > 0 {
-		c.m.lane.Metrics.Queued.RecordDuration(p.Queued)
+		c.match.lane.Metrics.Queued.RecordDuration(p.Queued)
 	}
 	switch p.Kind {
 	case booking.Retry:
-		c.m.lane.Metrics.Retries.Inc(1)
+		c.match.lane.Metrics.Retries.Inc(1)
 	case booking.Hedge:
-		c.m.lane.Metrics.Hedges.Inc(1)
+		c.match.lane.Metrics.Hedges.Inc(1)
 	case booking.First:
 	}
 	return p, nil
 }
 
-// begin asks the call's state for one more attempt, and returns the servers that
-// were tried. The lane calls it with its own mutex held.
-func (c *call) begin(now time.Time, b *booking.Budgets) (booking.Kind, []string, bool) {
+// beginAttempt asks the call's state for one more attempt, and returns the servers
+// that were tried. The lane calls it while it holds its own mutex.
+func (c *call) beginAttempt(now time.Time, b *booking.Budgets) (booking.Kind, []string, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if spent, _ := c.body.state(); spent {
+	if consumed, _ := c.body.state(); consumed {
 		c.state.SpendBody()
 	}
 	kind, ok := c.state.Begin(now, b)
 	return kind, c.tried, ok && c.winner == nil
 }
 
-// servers returns the servers that were tried.
-func (c *call) servers() []string {
+// triedServers returns the servers that were tried.
+func (c *call) triedServers() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.tried
 }
 
-// end tells the call's state what became of an attempt.
-func (c *call) end(outcome mustardsaddle.Outcome) {
+// endAttempt records the outcome of an attempt.
+func (c *call) endAttempt(outcome mustardsaddle.Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state.End(outcome)
 }
 
-// giveUp returns the final answer of a call: what is known, and why it ended.
-func (c *call) giveUp(no *refusal.Refusal) *refusal.Refusal {
+// finalRefusal returns the refusal that ends the call, with the outcome of all
+// attempts.
+func (c *call) finalRefusal(refused *refusal.Refusal) *refusal.Refusal {
 	c.mu.Lock()
 	outcome := c.state.Outcome()
 	c.mu.Unlock()
-	if no.Code == code.OK {
-		no = &refusal.Refusal{Code: code.CallDeadline}
+	if refused.Code == code.OK {
+		refused = &refusal.Refusal{Code: code.CallDeadline}
 	}
-	return &refusal.Refusal{Code: no.Code, Outcome: outcome, RetryAfter: max(no.RetryAfter, c.m.lane.RetryAfter())}
+	return &refusal.Refusal{Code: refused.Code, Outcome: outcome, RetryAfter: max(refused.RetryAfter, c.match.lane.RetryAfter())}
 }
 
-// manner returns by which connection an attempt goes. An idempotent request may
-// take any. One that runs at most once takes a new one, or one that has just proved
-// alive: if that breaks all the same, the outcome is Unknown as on a new one, and
-// nothing is sent again. Methods that announce an empty body by its length take a
-// new one, since the guard against resending hides that length.
-func (c *call) manner(p admission.Placement) manner {
+// connectionPolicy returns which connections an attempt may use. An idempotent
+// request may use any. A request that runs at most once needs a new connection, or
+// one that was alive a moment ago: if that one breaks all the same, the outcome is
+// Unknown as on a new one, and nothing is resent. POST, PUT and PATCH without a
+// body state "Content-Length: 0" and need a new connection, because NeverResend
+// hides that length.
+func (c *call) connectionPolicy(p admission.Placement) connectionPolicy {
 	switch c.r.Method {
 	case http.MethodPost, http.MethodPut, http.MethodPatch:
 		if c.body.empty {
 			return newConnection
 		}
 	}
-	if c.m.repeat == mustardsaddle.RepeatYes {
+	if c.match.repeat == mustardsaddle.RepeatYes {
 		return anyConnection
 	}
-	if c.body.streamed() || !c.m.lane.Alive(time.Now(), p.Choice.Server.Name) {
+	if c.body.streamed() || !c.match.lane.Alive(time.Now(), p.Choice.Server.Name) {
 		return newConnection
 	}
 	return aliveConnection
 }
 
-// race sends an attempt, and beside it a hedge if the answer is late. It returns
-// the attempt that was answered, or else one that was not.
-func (c *call) race(a *attempt) *attempt {
+// sendHedged sends an attempt, and a hedge beside it if the response is late. It
+// returns the attempt that was answered, or else one that was not.
+func (c *call) sendHedged(a *attempt) *attempt {
 	delay, ok := c.hedgeDelay()
 	if !ok {
 		c.send(a)
@@ -237,57 +242,58 @@
 	return a
 }
 
-// hedgeDelay returns when a hedge would be sent, if at all.
+// hedgeDelay returns the delay after which a hedge is sent, and false if there is
+// none.
 func (c *call) hedgeDelay() (time.Duration, bool) {
-	if c.m.repeat != mustardsaddle.RepeatYes || c.body.streamed() {
+	if c.match.repeat != mustardsaddle.RepeatYes || c.body.streamed() {
 		return 0, false
 	}
-	return c.m.lane.HedgeDelay()
+	return c.match.lane.HedgeDelay()
 }
 
 // sendHedge sends a second attempt on a new connection to another server. It
-// returns nil if none was permitted.
-func (c *call) sendHedge(first *attempt) *attempt {
-	p, no := c.place()
-	if no != nil {
+// returns nil if no hedge was permitted.
+func (c *call) sendHedge(primary *attempt) *attempt {
+	p, refused := c.admit()
+	if refused != nil {
 		return nil
 	}
 	p.Kind = booking.Hedge
 	h := c.newAttempt(p, newConnection)
-	c.enter(h)
+	c.track(h)
 	c.send(h)
 	if h.outcome == mustardsaddle.Ran {
-		first.cancel(errLost)
+		primary.cancel(errSuperseded)
 	}
 	return h
 }
 
-// send sends an attempt. It ends the attempt unless the attempt is the first to be
-// answered; that one is ended by the relay.
+// send sends an attempt. An attempt that does not win the call is finished here;
+// the relay finishes the winner.
 func (c *call) send(a *attempt) {
 	a.send(nil)
-	if c.wins(a) {
-		c.m.lane.Answered(a.latency)
-		a.observe()
+	if c.setWinner(a) {
+		c.match.lane.Answered(a.latency)
+		a.observeLoadReport()
 		return
 	}
-	a.observe()
+	a.observeLoadReport()
 	outcome := a.outcome
 	c.logAttempt(a)
 	if outcome == mustardsaddle.Ran {
 		a.outcome = mustardsaddle.Unknown
-		a.cancel(errLost)
+		a.cancel(errSuperseded)
 	}
-	c.end(outcome)
-	if errors.Is(context.Cause(a.ctx), errLost) {
-		c.m.lane.Answered(a.latency) // its true latency is longer still
+	c.endAttempt(outcome)
+	if errors.Is(context.Cause(a.ctx), errSuperseded) {
+		c.match.lane.Answered(a.latency) // a lower bound if canceled before the response
 	}
 	a.finish()
 }
 
-// wins reports whether the attempt is the first to be answered, and then cancels
-// the hedge beside it.
-func (c *call) wins(a *attempt) bool {
+// setWinner reports whether the attempt is the first to be answered. If so, it
+// becomes the winner and the open hedge is canceled.
+func (c *call) setWinner(a *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if a.outcome != mustardsaddle.Ran || c.winner != nil {
@@ -296,63 +302,63 @@
 	c.winner = a
 	c.state.End(mustardsaddle.Ran)
 	if c.hedge != nil && c.hedge != a {
-		c.hedge.cancel(errLost)
+		c.hedge.cancel(errSuperseded)
 	}
 	return true
 }
 
-// refuse ends the call without a server's answer.
-func (c *call) refuse(no *refusal.Refusal) {
-	c.settle()
-	c.m.lane.Metrics.Outcomes[no.Outcome].Inc(1)
+// refuse ends the call with a refusal.
+func (c *call) refuse(refused *refusal.Refusal) {
+	c.startResponse()
+	c.match.lane.Metrics.Outcomes[refused.Outcome].Inc(1)
 	c.mu.Lock()
-	id := c.lastID
+	id := c.lastAttemptID
 	c.mu.Unlock()
-	no.Service, no.Waited = c.m.lane.Service, time.Since(c.start)
-	c.g.refuse(c.w, c.r, id, no)
+	refused.Service, refused.Waited = c.match.lane.Service, time.Since(c.start)
+	c.g.refuse(c.w, c.r, id, refused)
 }
 
-// settle stops the deadline and the informational answers: from here on the
-// response writer belongs to the relay.
-func (c *call) settle() {
+// startResponse stops the deadline timer and the relay of 1xx responses. From here
+// on, only the final response uses the response writer.
+func (c *call) startResponse() {
 	c.timer.Stop()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answered = true
+	c.responseStarted = true
 	if c.body.streamed() {
 		_ = http.NewResponseController(c.w).SetReadDeadline(time.Time{})
 	}
 }
 
-// uploading bounds how long the caller's body may stand still. While it moves, the
-// deadline does not run.
-func (c *call) uploading() {
+// uploadProgress restarts the limit on the time without progress of the caller's
+// body. The deadline for the response header does not run during the upload.
+func (c *call) uploadProgress() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.answered {
+	if c.responseStarted {
 		return
 	}
 	c.timer.Reset(c.g.cfg.Progress)
 	_ = http.NewResponseController(c.w).SetReadDeadline(time.Now().Add(c.g.cfg.Progress))
 }
 
-// uploaded starts the deadline for the response header.
-func (c *call) uploaded() {
+// uploadDone starts the deadline for the response header.
+func (c *call) uploadDone() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.answered {
+	if c.responseStarted {
 		return
 	}
-	c.timer.Reset(c.m.deadline)
+	c.timer.Reset(c.match.deadline)
 	_ = http.NewResponseController(c.w).SetReadDeadline(time.Time{})
 }
 
-// relayInformational passes a 1xx answer on. 100 is left out: reading the caller's
-// body makes net/http send it.
+// relayInformational relays a 1xx response. 100 Continue is skipped: net/http sends
+// it itself when the caller's body is read.
 func (c *call) relayInformational(status int, fields textproto.MIMEHeader) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.answered || status == http.StatusContinue || !c.r.ProtoAtLeast(1, 1) {
+	if c.responseStarted || status == http.StatusContinue || !c.r.ProtoAtLeast(1, 1) {
 		return nil
 	}
 	h := c.w.Header()
--- a/internal/request/gateway/claim.go
+++ b/internal/request/gateway/claim.go
@@ -10,14 +10,15 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/refusal"
 )
 
-// IdempotencyKeyHeader is the header by which a caller names a request.
+// IdempotencyKeyHeader is the request header with the caller's idempotency key.
 const IdempotencyKeyHeader = "Idempotency-Key"
 
-// settleTimeout bounds the recording of what became of a claimed request.
+// settleTimeout bounds the time to record the outcome of a claimed request.
 const settleTimeout = 2 * time.Second
 
-// takeClaim claims a request, or returns why it must not be sent. The claim is all
-// that a call ever waits for in the store.
+// takeClaim claims the request's idempotency key, or returns why the request must
+// not be sent. It is the only store operation that a call waits for before its
+// response.
 func (c *call) takeClaim() *refusal.Refusal {
 	key := c.r.Header.Get(IdempotencyKeyHeader)
 	if key == "" {
@@ -28,7 +29,7 @@
 	}
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline)
 	defer cancel()
-	claim, held, err := c.g.cfg.Claims.Take(ctx, c.m.lane.Service, key, c.g.nextAttempt())
+	claim, held, err := c.g.cfg.Claims.Take(ctx, c.match.lane.Service, key, c.g.nextAttempt())
 	if err != nil {
 		return refusal.NotRun(code.Of(err))
 	}
@@ -39,8 +40,8 @@
 	return nil
 }
 
-// settleClaim records what became of a claimed request, once its caller has the
-// answer. If that fails the claim goes on saying Unknown, which is never false.
+// settleClaim records the outcome of a claimed request after the caller has its
+// response. If that fails, the stored outcome stays Unknown, which is never false.
 func (c *call) settleClaim() {
 	if c.claim == nil {
 		return
--- a/internal/request/gateway/claim_test.go
+++ b/internal/request/gateway/claim_test.go
@@ -11,20 +11,20 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/gateway"
 )
 
-// memory is a platform store without faults.
-type memory struct {
+// memoryStore is an in-memory platform store that never fails.
+type memoryStore struct {
 	mustardsaddle.Store
 	mu      sync.Mutex
 	objects map[string]mustardsaddle.Object
 }
 
-func (m *memory) Get(_ context.Context, key string) (mustardsaddle.Object, error) {
+func (m *memoryStore) Get(_ context.Context, key string) (mustardsaddle.Object, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.objects[key], nil
 }
 
-func (m *memory) Put(_ context.Context, key string, value []byte, version int64) (int64, error) {
+func (m *memoryStore) Put(_ context.Context, key string, value []byte, version int64) (int64, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.objects[key].Version != version {
@@ -34,13 +34,14 @@
 	return version + 1, nil
 }
 
-// TestClaimAcrossGateways sends one order through two gateways at once, and again.
+// TestClaimAcrossGateways sends requests with one idempotency key through two
+// gateways concurrently, and then once more. The request must run exactly once.
 func TestClaimAcrossGateways(t *testing.T) {
-	j := newJudge(t, nil)
-	claims := claim.New(claim.Config{Store: &memory{objects: make(map[string]mustardsaddle.Object)}})
-	orders := tableOf(t, "Path=/orders Method=POST Service=Booking Repeat=Claim # Tan: orders")
-	a, ga := newGateway(t, gateway.Config{Claims: claims}, j.address())
-	b, gb := newGateway(t, gateway.Config{Claims: claims}, j.address())
+	s := newCountingServer(t, nil)
+	claims := claim.New(claim.Config{Store: &memoryStore{objects: make(map[string]mustardsaddle.Object)}})
+	orders := compileRules(t, "Path=/orders Method=POST Service=Booking Repeat=Claim # Tan: orders")
+	a, ga := newGateway(t, gateway.Config{Claims: claims}, s.address())
+	b, gb := newGateway(t, gateway.Config{Claims: claims}, s.address())
 	ga.SetRules(orders)
 	gb.SetRules(orders)
 	var wg sync.WaitGroup
@@ -49,17 +50,17 @@
 		wg.Go(func() { _, _, _ = do(t, b, "POST", "/orders", "M1", "Idempotency-Key", "k1", "Test-Call", "k1") })
 	}
 	wg.Wait()
-	if n := count("k1", j); n != 1 {
-		t.Fatalf("order ran %d times, want once", n)
+	if n := executions("k1", s); n != 1 {
+		t.Fatalf("request was executed %d times, want once", n)
 	}
 	resp, text, err := do(t, b, "POST", "/orders", "M1", "Idempotency-Key", "k1", "Test-Call", "k1")
-	for err == nil && text == "Code=4012 Outcome=Unknown\n" { // until the holder has recorded the end
+	for err == nil && text == "Code=4012 Outcome=Unknown\n" { // until the outcome is recorded
 		resp, text, err = do(t, b, "POST", "/orders", "M1", "Idempotency-Key", "k1", "Test-Call", "k1")
 	}
-	if err != nil || resp.StatusCode != 409 || text != "Code=4012 Outcome=Ran\n" || count("k1", j) != 1 {
+	if err != nil || resp.StatusCode != 409 || text != "Code=4012 Outcome=Ran\n" || executions("k1", s) != 1 {
 		t.Fatalf("got %v %q %v, want 409 and Ran", resp, text, err)
 	}
 	if resp, _, _ := do(t, a, "POST", "/orders", "M1"); resp.StatusCode != 400 {
-		t.Fatalf("got status %d without a key, want 400", resp.StatusCode)
+		t.Fatalf("got status %d without an idempotency key, want 400", resp.StatusCode)
 	}
 }
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -1,24 +1,25 @@
-// Package gateway serves callers: it passes each request through a pipe of
-// filters, each with one job and one typed result.
+// Package gateway is the HTTP reverse proxy of the load balancer. It takes each
+// request through four stages:
 //
-//	match    finds the rule, and refuses what could not be forwarded faithfully
-//	admit    chooses a server, waits for one as long as is useful, or refuses now;
-//	         package admission does that
+//	match    finds the rule, and refuses requests that cannot be forwarded unchanged
+//	admit    selects a server, queues while waiting is useful, or refuses at once;
+//	         see package admission
 //	attempt  sends the request once, and classifies the outcome
-//	relay    passes the answer on whole, or visibly cuts it
+//	relay    relays the complete response, or visibly aborts it
 //
-// What a caller is told follows from the outcome alone. NotRun: no byte of the
-// request was written, or the server declared that it did not run it. Ran: a full
-// response header came. Unknown: anything else.
+// What the caller is told about the execution of its request follows from the outcome
+// alone. NotRun: no byte of the request was written, or the server declared that it
+// did not execute it. Ran: a complete response header was received. Unknown: anything
+// else.
 //
 // # Sending once
 //
-// A request leaves only by a decision of package booking. http.Transport resends
-// a request without a body, or with an Idempotency-Key, by itself when a reused
-// connection breaks. Two things prevent that: what goes over a reused connection
-// has a body without GetBody, and a second connection within one attempt refuses to
-// write. A request that runs at most once takes a new connection, or one that has
-// just carried an answer.
+// Package booking alone decides whether a request is sent again. http.Transport,
+// however, resends a request without a body, or with an Idempotency-Key, by itself
+// when a reused connection breaks. Two things prevent that: a request on a reused
+// connection has a body without GetBody, and writes are blocked on a second connection
+// within one attempt. A request that runs at most once uses a new connection, or one
+// that returned a response a moment ago.
 //
 // # Usage
 //
@@ -54,7 +55,7 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/header"
 )
 
-// Defaults of a Config.
+// Default values of Config.
 const (
 	defaultDeadline    = 10 * time.Second
 	defaultProgress    = 15 * time.Second
@@ -65,52 +66,53 @@
 	defaultIdleTimeout = 15 * time.Second
 )
 
-// Service holds what a service's operators declare about its servers.
+// Service declares how the servers of a service report a request that they did not
+// execute.
 type Service struct {
-	// NotRunStatus is the status by which a server says, together with
-	// NotRunHeader, that it did not run a request; 0 if it never says so.
+	// NotRunStatus is the status code that, together with NotRunHeader, means that the
+	// server did not execute the request; 0 if servers never declare this.
 	NotRunStatus int
-	// NotRunHeader is the header that must be present with NotRunStatus.
+	// NotRunHeader is the header that must be present along with NotRunStatus.
 	NotRunHeader string
 }
 
-// Config configures a Gateway. Zero values of limits mean the default.
+// Config configures a Gateway. A limit of zero means the default.
 type Config struct {
 	// Name identifies this gateway in attempt ids and in Via.
 	Name string
-	// Deadline bounds the time to the response header where a rule states none.
+	// Deadline is the timeout for the response header if the rule has none.
 	Deadline time.Duration
-	// Progress bounds how long a body, in either direction, may stand still.
+	// Progress is the timeout for a request or response body that makes no progress.
 	Progress time.Duration
-	// BodyBytes bounds a caller's body.
+	// BodyBytes is the maximum size of a request body.
 	BodyBytes int64
-	// ReplayBytes bounds the body that is kept so that it can be sent again.
+	// ReplayBytes is the maximum size of a request body that is buffered for retries.
 	ReplayBytes int64
-	// MaxAttempts bounds the attempts of one call.
+	// MaxAttempts is the maximum number of attempts of one call.
 	MaxAttempts int
-	// DialTimeout bounds the opening of a connection to a server.
+	// DialTimeout bounds the time to open a connection to a server.
 	DialTimeout time.Duration
-	// IdleTimeout is how long an unused connection to a server is kept.
+	// IdleTimeout is how long an idle connection to a server is kept.
 	IdleTimeout time.Duration
-	// Headers names what callers and servers say in headers; nil means the
+	// Headers configures the headers exchanged with callers and servers; nil means the
 	// project's own names.
 	Headers *mustardsaddle.Headers
-	// Admission says when attempts may go, and where.
+	// Admission configures admission control and the selection of servers.
 	Admission admission.Options
 	// Services holds the declarations by service.
 	Services map[string]Service
-	// Claims, if set, keeps the claims of rules with Repeat=Claim; otherwise
-	// such requests are refused.
+	// Claims stores the idempotency keys of rules with Repeat=Claim; if nil, such
+	// requests are refused.
 	Claims mustardsaddle.Claims
-	// Metrics takes counters and histograms; nil means none.
+	// Metrics receives counters and histograms; nil disables them.
 	Metrics tally.Scope
-	// Logger takes the log events.
+	// Logger receives the log events.
 	Logger zerolog.Logger
-	// Seed seeds the random choices.
+	// Seed seeds the random number generators.
 	Seed uint64
 }
 
-// withDefaults fills in the zero values.
+// withDefaults replaces zero values by the defaults.
 func (cfg Config) withDefaults() Config {
 	setDefault(&cfg.Deadline, defaultDeadline)
 	setDefault(&cfg.Progress, defaultProgress)
@@ -128,14 +130,14 @@
 	return cfg
 }
 
-// transport returns the connections to servers.
+// transport returns a transport for connections to servers.
 func (cfg Config) transport(reuse bool) *http.Transport {
 	return connection.NewTransport(connection.TransportConfig{
 		DialTimeout: cfg.DialTimeout, IdleTimeout: cfg.IdleTimeout, Reuse: reuse,
 	})
 }
 
-// setDefault replaces a zero value.
+// setDefault replaces a zero value by the default.
 func setDefault[T comparable](p *T, value T) {
 	var zero T
 	if *p == zero {
@@ -143,22 +145,22 @@
 	}
 }
 
-// Gateway is the handler of callers' requests. It is safe for concurrent use.
+// Gateway is the HTTP handler for callers' requests. It is safe for concurrent use.
 type Gateway struct {
-	cfg      Config
-	rules    atomic.Pointer[rule.Table]
-	reuse    *http.Transport
-	fresh    *http.Transport
-	prefix   string
-	header   header.Gateway
-	attempts atomic.Uint64
-	inFlight atomic.Int64
-	stopping atomic.Bool
-	lanes    *admission.Lanes
-	buffers  sync.Pool
+	cfg           Config
+	rules         atomic.Pointer[rule.Table]
+	pooled        *http.Transport
+	unpooled      *http.Transport
+	attemptPrefix string
+	header        header.Gateway
+	attemptSeq    atomic.Uint64
+	inFlight      atomic.Int64
+	stopping      atomic.Bool
+	lanes         *admission.Lanes
+	buffers       sync.Pool
 
 	mu sync.Mutex
-	// rng draws the service of a call; it is guarded by mu.
+	// rng selects the service of a call by weight; it is guarded by mu.
 	rng *rand.Rand
 }
 
@@ -168,32 +170,32 @@
 func New(cfg Config) *Gateway {
 	cfg = cfg.withDefaults()
 	g := &Gateway{
-		cfg:    cfg,
-		reuse:  cfg.transport(true),
-		fresh:  cfg.transport(false),
-		prefix: cfg.Name + "-" + strconv.FormatInt(time.Now().UnixMicro(), 36) + "-",
-		header: header.NewGateway(cfg.Name),
-		rng:    rand.New(rand.NewPCG(cfg.Seed, 4)),
+		cfg:           cfg,
+		pooled:        cfg.transport(true),
+		unpooled:      cfg.transport(false),
+		attemptPrefix: cfg.Name + "-" + strconv.FormatInt(time.Now().UnixMicro(), 36) + "-",
+		header:        header.NewGateway(cfg.Name),
+		rng:           rand.New(rand.NewPCG(cfg.Seed, 4)),
 	}
 	g.lanes = admission.NewLanes(admission.Config{
-		Options: cfg.Admission, Name: cfg.Name, MinRetryAfter: cfg.minRetryAfter(), Transport: g.reuse,
+		Options: cfg.Admission, Name: cfg.Name, MinRetryAfter: cfg.minRetryAfter(), Transport: g.pooled,
 		Headers: cfg.Headers, Rules: g.Rules, Metrics: cfg.Metrics, Logger: cfg.Logger, Seed: cfg.Seed,
 	})
 	g.buffers.New = func() any { return new([copyBufferBytes]byte) }
 	return g
 }
 
-// SetRules puts a rules table in force.
+// SetRules replaces the rules table.
 func (g *Gateway) SetRules(t *rule.Table) {
 	g.rules.Store(t)
 }
 
-// Rules returns the table in force, or nil.
+// Rules returns the current rules table, or nil.
 func (g *Gateway) Rules() *rule.Table {
 	return g.rules.Load()
 }
 
-// Lanes returns the lanes of the services, which a prober needs.
+// Lanes returns the admission state of all services, as a prober needs it.
 func (g *Gateway) Lanes() *admission.Lanes {
 	return g.lanes
 }
@@ -203,41 +205,41 @@
 	g.lanes.SetServers(now, service, servers)
 }
 
-// SetFleet tells which gateway VMs there are, this one included.
+// SetFleet replaces the list of gateway VMs, including this one.
 func (g *Gateway) SetFleet(now time.Time, gateways []mustardsaddle.VM) {
 	g.lanes.SetFleet(now, gateways)
 }
 
-// SetRetry changes the bounds of retries and hedges in a window: the share that a
-// call earns, and the slack of the whole fleet.
+// SetRetry replaces the retry and hedge budgets of a time window: the ratio that
+// each call adds, and the slack of all gateways together.
 func (g *Gateway) SetRetry(now time.Time, bounds booking.Bounds) {
 	g.lanes.SetRetry(now, bounds)
 }
 
-// Listener returns a listener for the callers' address. What net/http refuses by
-// itself gets a code and an outcome there.
+// Listener wraps the listener for callers, so that the error responses of net/http
+// itself have a code and an outcome.
 func (g *Gateway) Listener(ln net.Listener) net.Listener {
 	return connection.NewErrorListener(ln, g.cfg.Logger)
 }
 
-// InFlight returns how many calls are being served.
+// InFlight returns the number of calls in progress.
 func (g *Gateway) InFlight() int {
 	return int(g.inFlight.Load())
 }
 
-// SetStopping ends each caller's connection after its present call. Calls in
-// flight and new ones are served as before.
+// SetStopping closes each caller's connection after its current call. Calls in
+// progress and new calls are still served.
 func (g *Gateway) SetStopping() {
 	g.stopping.Store(true)
 }
 
 // Close closes the idle connections to servers.
 func (g *Gateway) Close() {
-	g.reuse.CloseIdleConnections()
-	g.fresh.CloseIdleConnections()
+	g.pooled.CloseIdleConnections()
+	g.unpooled.CloseIdleConnections()
 }
 
-// ServeHTTP answers one caller's request.
+// ServeHTTP serves one request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
@@ -245,14 +247,14 @@
 		w.Header().Set("Connection", "close")
 	}
 	if r.ContentLength != 0 {
-		// Without full duplex, net/http drops up to 256 KiB of the body when the
-		// answer begins. HTTP/2 always has it and says that it cannot be enabled.
+		// Without full duplex, net/http discards up to 256 KiB of the request body when
+		// the response starts. HTTP/2 is always full duplex and returns an error here.
 		_ = http.NewResponseController(w).EnableFullDuplex()
 	}
 	now := time.Now()
-	m, no := g.match(r)
-	if no != nil {
-		g.refuse(w, r, "", no)
+	m, refused := g.match(r)
+	if refused != nil {
+		g.refuse(w, r, "", refused)
 		return
 	}
 	c := newCall(g, now, w, r, m)
@@ -260,7 +262,7 @@
 	c.serve()
 }
 
-// nextAttempt returns a new attempt id, unique over gateways and restarts.
+// nextAttempt returns an attempt id that is unique across gateways and restarts.
 func (g *Gateway) nextAttempt() string {
-	return g.prefix + strconv.FormatUint(g.attempts.Add(1), 36)
+	return g.attemptPrefix + strconv.FormatUint(g.attemptSeq.Add(1), 36)
 }
--- a/internal/request/gateway/harness_test.go
+++ b/internal/request/gateway/harness_test.go
@@ -17,21 +17,23 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/header"
 )
 
-// judge is an endpoint server that counts executions by attempt id.
-type judge struct {
+// countingServer is an endpoint server that counts executions by attempt id and by
+// the Test-Call header.
+type countingServer struct {
 	*httptest.Server
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// newJudge runs handle after counting, or echoes the body if handle is nil.
-func newJudge(t testing.TB, handle http.HandlerFunc) *judge {
-	j := &judge{runs: make(map[string]int)}
-	j.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		j.mu.Lock()
-		j.runs[r.Header.Get(header.Attempt)]++
-		j.runs[r.Header.Get("Test-Call")]++
-		j.mu.Unlock()
+// newCountingServer returns a server that counts a request and then calls handle,
+// or echoes the body if handle is nil.
+func newCountingServer(t testing.TB, handle http.HandlerFunc) *countingServer {
+	s := &countingServer{runs: make(map[string]int)}
+	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		s.mu.Lock()
+		s.runs[r.Header.Get(header.Attempt)]++
+		s.runs[r.Header.Get("Test-Call")]++
+		s.mu.Unlock()
 		if handle != nil {
 			handle(w, r)
 			return
@@ -39,128 +41,131 @@
 		body, _ := io.ReadAll(r.Body)
 		_, _ = w.Write(body)
 	}))
-	t.Cleanup(j.Close)
-	return j
+	t.Cleanup(s.Close)
+	return s
 }
 
-// count returns how often the attempt or call ran at any of the judges.
-func count(id string, judges ...*judge) int {
+// executions returns how often the attempt or call was executed by all the servers
+// together.
+func executions(id string, servers ...*countingServer) int {
 	n := 0
-	for _, j := range judges {
-		j.mu.Lock()
-		n += j.runs[id]
-		j.mu.Unlock()
+	for _, s := range servers {
+		s.mu.Lock()
+		n += s.runs[id]
+		s.mu.Unlock()
 	}
 	return n
 }
 
-// address returns the judge's host and port.
-func (j *judge) address() string { return strings.TrimPrefix(j.URL, "http://") }
+// address returns the server's host and port.
+func (s *countingServer) address() string { return strings.TrimPrefix(s.URL, "http://") }
 
-// fault says what a relay does to one connection. Limits of 0 mean none.
+// fault describes the fault that faultProxy injects into one connection. Limits of
+// 0 mean no fault.
 type fault struct {
-	up, down int64 // bytes from and to the gateway before the fault
-	freeze   bool  // keep silent instead of resetting the connection
-	half     bool  // close only the way to the gateway
+	upBytes, downBytes int64 // bytes from and to the gateway before the fault occurs
+	freeze             bool  // stop forwarding instead of resetting the connection
+	halfClose          bool  // close only the sending side of the connection
 }
 
-// link is a byte-level relay in front of a server.
-type link struct {
+// faultProxy is a TCP proxy in front of a server that injects faults.
+type faultProxy struct {
 	net.Listener
 	target string
-	fault  func(n int) fault // of the nth connection
+	fault  func(n int) fault // returns the fault of the nth connection
 
-	mu     sync.Mutex
-	conns  []net.Conn
-	frozen chan struct{}
-	n      int
+	mu       sync.Mutex
+	conns    []net.Conn
+	frozen   chan struct{}
+	accepted int
 
-	lossy atomic.Bool // reset a connection in place of each answer
+	dropResponses atomic.Bool // reset the connection instead of forwarding a response
 }
 
-func newLink(t testing.TB, target string, f func(n int) fault) *link {
+func newFaultProxy(t testing.TB, target string, f func(n int) fault) *faultProxy {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &link{Listener: ln, target: target, fault: f, frozen: make(chan struct{})}
+	p := &faultProxy{Listener: ln, target: target, fault: f, frozen: make(chan struct{})}
 	go func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go l.carry(c)
+			go p.forward(c)
 		}
 	}()
-	t.Cleanup(func() { _ = ln.Close(); l.cut() })
-	return l
+	t.Cleanup(func() { _ = ln.Close(); p.resetAll() })
+	return p
 }
 
-// cut resets all present connections.
-func (l *link) cut() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, c := range l.conns {
+// resetAll resets all open connections.
+func (p *faultProxy) resetAll() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, c := range p.conns {
 		_ = c.(*net.TCPConn).SetLinger(0)
 		_ = c.Close()
 	}
-	l.conns = nil
+	p.conns = nil
 }
 
-// freeze makes all present connections silent for good; new ones work.
-func (l *link) freeze() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	close(l.frozen)
-	l.frozen = make(chan struct{})
+// freeze stops forwarding on all open connections without closing them; new
+// connections work.
+func (p *faultProxy) freeze() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	close(p.frozen)
+	p.frozen = make(chan struct{})
 }
 
-// setFault replaces the faults of new connections.
-func (l *link) setFault(f fault) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.fault = func(int) fault { return f }
+// setFault sets the fault of all new connections.
+func (p *faultProxy) setFault(f fault) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.fault = func(int) fault { return f }
 }
 
-func (l *link) carry(c net.Conn) {
-	s, err := net.Dial("tcp", l.target)
+func (p *faultProxy) forward(c net.Conn) {
+	s, err := net.Dial("tcp", p.target)
 	if err != nil {
 		_ = c.Close()
 		return
 	}
-	l.mu.Lock()
-	l.n++
-	l.conns = append(l.conns, c, s)
-	frozen, f := l.frozen, fault{}
-	if l.fault != nil {
-		f = l.fault(l.n)
+	p.mu.Lock()
+	p.accepted++
+	p.conns = append(p.conns, c, s)
+	frozen, f := p.frozen, fault{}
+	if p.fault != nil {
+		f = p.fault(p.accepted)
 	}
-	l.mu.Unlock()
-	go pump(s, c, f.up, f, frozen, new(atomic.Bool))
-	pump(c, s, f.down, f, frozen, &l.lossy)
+	p.mu.Unlock()
+	go copyWithFault(s, c, f.upBytes, f, frozen, new(atomic.Bool))
+	copyWithFault(c, s, f.downBytes, f, frozen, &p.dropResponses)
 }
 
-// pump copies from src to dst until the limit, then does the fault.
-func pump(dst, src net.Conn, limit int64, f fault, frozen chan struct{}, lossy *atomic.Bool) {
+// copyWithFault copies from src to dst up to the limit, then injects the fault.
+func copyWithFault(dst, src net.Conn, limit int64, f fault, frozen chan struct{}, dropResponses *atomic.Bool) {
 	buf := make([]byte, 16<<10)
-	for passed := int64(0); ; {
+	for copied := int64(0); ; {
 		n, err := src.Read(buf)
 		select {
 		case <-frozen:
 			return
 		default:
 		}
-		if n > 0 && lossy.Load() {
+		if n > 0 && dropResponses.Load() {
 			_ = dst.(*net.TCPConn).SetLinger(0)
 			_, _ = dst.Close(), src.Close()
 			return
 		}
-		if limit > 0 && passed+int64(n) >= limit {
-			_, _ = dst.Write(buf[:max(min(limit-passed, int64(n)), 0)])
+		if limit > 0 && copied+int64(n) >= limit {
+			_, _ = dst.Write(buf[:max(min(limit-copied, int64(n)), 0)])
 			switch {
 			case f.freeze:
-			case f.half:
+			case f.halfClose:
 				_ = dst.(*net.TCPConn).CloseWrite()
 			default:
 				_ = dst.(*net.TCPConn).SetLinger(0)
@@ -168,7 +173,7 @@
 			}
 			return
 		}
-		passed += int64(n)
+		copied += int64(n)
 		if _, werr := dst.Write(buf[:n]); err != nil || werr != nil {
 			_, _ = dst.Close(), src.Close()
 			return
@@ -181,7 +186,8 @@
 Path=/* Service=Booking # Mei Lin: everything
 `
 
-// newGateway serves the rules above over servers at the given addresses.
+// newGateway returns a gateway with the test rules for servers at the given
+// addresses.
 func newGateway(t testing.TB, cfg gateway.Config, addresses ...string) (*httptest.Server, *gateway.Gateway) {
 	cfg.Name = "gateway-1"
 	cfg.Services = map[string]gateway.Service{"Booking": {NotRunStatus: 503, NotRunHeader: "Endpoint-Not-Run"}}
@@ -204,7 +210,7 @@
 	return front, g
 }
 
-// do sends a request and reads the whole answer.
+// do sends a request and reads the complete response.
 func do(t testing.TB, front *httptest.Server, method, path, body string, header ...string) (*http.Response, string, error) {
 	t.Helper()
 	r, err := http.NewRequest(method, front.URL+path, strings.NewReader(body))
--- a/internal/request/gateway/http_test.go
+++ b/internal/request/gateway/http_test.go
@@ -24,24 +24,24 @@
 )
 
 func TestHeaders(t *testing.T) {
-	convey.Convey("Given a server that shows what it gets and sends what it should not", t, func() {
+	convey.Convey("Given a server that records request headers and sends forbidden response headers", t, func() {
 		var got http.Header
 		var host string
-		j := newJudge(t, func(w http.ResponseWriter, r *http.Request) {
+		s := newCountingServer(t, func(w http.ResponseWriter, r *http.Request) {
 			got, host = r.Header.Clone(), r.Host
 			w.Header().Set("Connection", "X-Hop")
 			w.Header().Set("X-Hop", "1")
 			w.Header().Set("Mustardsaddle-Outcome", "NotRun")
 			w.Header().Set("Mustardsaddle-Code", "4001")
 			w.Header().Set("Mustardsaddle-Other", "1")
-			_, _ = fmt.Fprint(w, "answer")
+			_, _ = fmt.Fprint(w, "response")
 		})
-		front, _ := newGateway(t, gateway.Config{Deadline: 5 * time.Second}, j.address())
+		front, _ := newGateway(t, gateway.Config{Deadline: 5 * time.Second}, s.address())
 		resp, _, err := do(t, front, "GET", "/x", "", "Mustardsaddle-Outcome", "NotRun", "Mustardsaddle-Attempt", "forged",
 			"Mustardsaddle-Deadline", "99999999", "Connection", "X-Private, keep-alive", "X-Private", "1", "Te", "trailers, gzip",
 			"Proxy-Authorization", "secret", "X-Forwarded-For", "192.0.2.7", "Via", "1.0 outer")
 		convey.So(err, convey.ShouldBeNil)
-		convey.Convey("The server gets our headers and no forged or hop-by-hop ones", func() {
+		convey.Convey("The server gets the gateway's headers, and no forged or hop-by-hop headers", func() {
 			left, err := strconv.Atoi(got.Get(header.Deadline))
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(left, convey.ShouldBeBetween, 1, 5001)
@@ -54,7 +54,7 @@
 			convey.So(got.Get("Via"), convey.ShouldEqual, "1.0 outer, 1.1 gateway-1")
 			convey.So(host, convey.ShouldEqual, strings.TrimPrefix(front.URL, "http://"))
 		})
-		convey.Convey("The caller gets the outcome that we saw", func() {
+		convey.Convey("The caller gets the gateway's outcome, and no forged or hop-by-hop headers", func() {
 			convey.So(resp.Header.Get(header.Outcome), convey.ShouldEqual, "Ran")
 			convey.So(resp.Header.Get(header.Code), convey.ShouldEqual, "")
 			convey.So(resp.Header.Get("Mustardsaddle-Other"), convey.ShouldEqual, "")
@@ -64,8 +64,8 @@
 }
 
 func TestRefusals(t *testing.T) {
-	j := newJudge(t, nil)
-	all := tableOf(t, "Path=/* Service=Booking # Mei Lin: all")
+	s := newCountingServer(t, nil)
+	all := compileRules(t, "Path=/* Service=Booking # Mei Lin: all")
 	for _, tc := range []struct {
 		name, body, upgrade string
 		rules               *rule.Table
@@ -75,11 +75,11 @@
 		{"upgrade", "", "websocket", all, 501, "Code=4010 Outcome=NotRun\n"},
 		{"body above the limit", strings.Repeat("x", 2000), "", all, 413, "Code=4008 Outcome=NotRun\n"},
 		{"no rule matches", "", "", rule.Compile(rule.File{}), 404, "Code=4001 Outcome=NotRun\n"},
-		{"no rules yet", "", "", nil, 503, "Code=4006 Outcome=NotRun\n"},
-		{"no such service", "", "", tableOf(t, "Path=/x Service=None # Mei Lin: none"), 503, "Code=4002 Outcome=NotRun\n"},
+		{"no rules loaded", "", "", nil, 503, "Code=4006 Outcome=NotRun\n"},
+		{"unknown service", "", "", compileRules(t, "Path=/x Service=None # Mei Lin: none"), 503, "Code=4002 Outcome=NotRun\n"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			front, g := newGateway(t, gateway.Config{BodyBytes: 1000}, j.address())
+			front, g := newGateway(t, gateway.Config{BodyBytes: 1000}, s.address())
 			g.SetRules(tc.rules)
 			resp, text, err := do(t, front, "POST", "/x", tc.body, "Connection", "Upgrade", "Upgrade", tc.upgrade)
 			if err != nil || resp.StatusCode != tc.status || text != tc.text {
@@ -89,17 +89,18 @@
 	}
 }
 
-// TestFraming sends what net/http itself refuses, byte by byte.
+// TestFraming sends raw requests that net/http itself rejects: the error response
+// must have a code. Its last request is valid.
 func TestFraming(t *testing.T) {
-	j := newJudge(t, nil)
-	front, _ := newGateway(t, gateway.Config{}, j.address())
+	s := newCountingServer(t, nil)
+	front, _ := newGateway(t, gateway.Config{}, s.address())
 	for _, tc := range []struct {
 		name, head, status, code string
 	}{
-		{"two lengths", "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", "400", "4007"},
-		{"unknown encoding", "POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", "501", "4007"},
+		{"conflicting Content-Length", "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", "400", "4007"},
+		{"unknown transfer encoding", "POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", "501", "4007"},
 		{"header above the limit", "GET /x HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 100<<10) + "\r\n\r\n", "431", "4008"},
-		{"length and encoding", "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n3\r\nabc\r\n0\r\n\r\n", "200", ""},
+		{"Content-Length and Transfer-Encoding", "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n3\r\nabc\r\n0\r\n\r\n", "200", ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c, err := net.Dial("tcp", strings.TrimPrefix(front.URL, "http://"))
@@ -117,9 +118,9 @@
 }
 
 func TestMessages(t *testing.T) {
-	convey.Convey("Given a server with every kind of message", t, func() {
+	convey.Convey("Given a server with many kinds of responses", t, func() {
 		canceled := make(chan struct{})
-		j := newJudge(t, func(w http.ResponseWriter, r *http.Request) {
+		s := newCountingServer(t, func(w http.ResponseWriter, r *http.Request) {
 			switch r.URL.Path {
 			case "/head":
 				w.Header().Set("Content-Length", "1234")
@@ -148,8 +149,8 @@
 				_ = c.Close()
 			}
 		})
-		front, _ := newGateway(t, gateway.Config{Deadline: time.Minute}, j.address())
-		convey.Convey("HEAD keeps the length, 204 and 304 have no body, a range passes", func() {
+		front, _ := newGateway(t, gateway.Config{Deadline: time.Minute}, s.address())
+		convey.Convey("HEAD keeps Content-Length, 204 and 304 have no body, and range requests work", func() {
 			resp, text, err := do(t, front, "HEAD", "/head", "")
 			convey.So([]any{resp.ContentLength, text, err}, convey.ShouldResemble, []any{int64(1234), "", nil})
 			resp, text, err = do(t, front, "GET", "/none", "")
@@ -161,7 +162,7 @@
 			_, text, err = do(t, front, "GET", "/until-close", "")
 			convey.So([]any{text, err}, convey.ShouldResemble, []any{"until close", nil})
 		})
-		convey.Convey("Informational answers are relayed", func() {
+		convey.Convey("Informational responses are relayed", func() {
 			link := ""
 			ctx := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{
 				Got1xxResponse: func(_ int, h textproto.MIMEHeader) error { link = h.Get("Link"); return nil },
@@ -172,8 +173,8 @@
 			_ = resp.Body.Close()
 			convey.So(link, convey.ShouldEqual, "</style.css>")
 		})
-		convey.Convey("A body that the server does not want is not sent", func() {
-			read := &video{size: 10 << 20}
+		convey.Convey("A body that the server rejects after Expect: 100-continue is not sent", func() {
+			read := &patternBody{size: 10 << 20}
 			r, _ := http.NewRequest("POST", front.URL+"/forbidden", read)
 			r.Header.Set("Expect", "100-continue")
 			client := &http.Transport{ExpectContinueTimeout: time.Minute}
@@ -182,9 +183,9 @@
 			convey.So(err, convey.ShouldBeNil)
 			_ = resp.Body.Close()
 			convey.So(resp.StatusCode, convey.ShouldEqual, 403)
-			convey.So(read.at, convey.ShouldEqual, 0)
+			convey.So(read.pos, convey.ShouldEqual, 0)
 		})
-		convey.Convey("Trailers pass both ways, also by HTTP/2", func() {
+		convey.Convey("Trailers are relayed in both directions, over HTTP/1.1 and HTTP/2", func() {
 			client := &http.Transport{Protocols: new(http.Protocols)}
 			client.Protocols.SetUnencryptedHTTP2(true)
 			defer client.CloseIdleConnections()
@@ -199,7 +200,7 @@
 				convey.So(resp.Trailer.Get("X-Sum"), convey.ShouldEqual, "42")
 			}
 		})
-		convey.Convey("The server hears when the caller goes away", func() {
+		convey.Convey("The server's request is canceled when the caller disconnects", func() {
 			ctx, cancel := context.WithCancel(context.Background())
 			r, _ := http.NewRequestWithContext(ctx, "GET", front.URL+"/forever", nil)
 			time.AfterFunc(50*time.Millisecond, cancel)
@@ -208,25 +209,25 @@
 			select {
 			case <-canceled:
 			case <-time.After(5 * time.Second):
-				convey.So("the server still runs the call", convey.ShouldBeEmpty)
+				convey.So("the server's request was not canceled", convey.ShouldBeEmpty)
 			}
 		})
 	})
 }
 
 func TestRefusalComesAtTheDecision(t *testing.T) {
-	convey.Convey("Given one server that is busy beyond the deadline", t, func() {
+	convey.Convey("Given a server that is busy beyond the deadline", t, func() {
 		release := make(chan struct{})
-		j := newJudge(t, func(http.ResponseWriter, *http.Request) { <-release })
+		s := newCountingServer(t, func(http.ResponseWriter, *http.Request) { <-release })
 		t.Cleanup(func() { close(release) })
-		front, g := newGateway(t, gateway.Config{Deadline: 200 * time.Millisecond, Admission: admission.Options{MaxWaiting: 1}}, j.address())
-		g.SetFleet(time.Now(), make([]mustardsaddle.VM, 1000)) // a cap of one connection
+		front, g := newGateway(t, gateway.Config{Deadline: 200 * time.Millisecond, Admission: admission.Options{MaxWaiting: 1}}, s.address())
+		g.SetFleet(time.Now(), make([]mustardsaddle.VM, 1000)) // limits each gateway to one connection per server
 		first := make(chan string, 1)
 		go func() {
 			_, text, _ := do(t, front, "POST", "/x", "")
 			first <- text
 		}()
-		for g.InFlight() == 0 || count("", j) == 0 {
+		for g.InFlight() == 0 || executions("", s) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		second := make(chan string, 1)
@@ -237,50 +238,50 @@
 		for g.InFlight() < 2 {
 			time.Sleep(time.Millisecond)
 		}
-		convey.Convey("The queue's end, the useful wait and the deadline each answer at once", func() {
-			begun := time.Now()
+		convey.Convey("The queued call and the running call are refused as soon as their outcome is decided", func() {
+			started := time.Now()
 			convey.So(<-second, convey.ShouldEqual, "Code=4003 Outcome=NotRun\n")
 			convey.So(<-first, convey.ShouldEqual, "Code=4004 Outcome=Unknown\n")
-			convey.So(time.Since(begun), convey.ShouldBeLessThan, 5*time.Second)
+			convey.So(time.Since(started), convey.ShouldBeLessThan, 5*time.Second)
 		})
 	})
 }
 
 func TestStopping(t *testing.T) {
-	convey.Convey("Given a gateway that stops while a call is in flight", t, func() {
-		begun, release := make(chan struct{}), make(chan struct{})
-		j := newJudge(t, func(w http.ResponseWriter, _ *http.Request) {
-			close(begun)
+	convey.Convey("Given a gateway that shuts down while a call is in flight", t, func() {
+		started, release := make(chan struct{}), make(chan struct{})
+		s := newCountingServer(t, func(w http.ResponseWriter, _ *http.Request) {
+			close(started)
 			<-release
-			_, _ = fmt.Fprint(w, "whole")
+			_, _ = fmt.Fprint(w, "complete")
 		})
-		front, g := newGateway(t, gateway.Config{Admission: admission.Options{HedgeShare: -1}}, j.address())
-		type answer struct {
+		front, g := newGateway(t, gateway.Config{Admission: admission.Options{HedgeShare: -1}}, s.address())
+		type response struct {
 			resp *http.Response
 			text string
 		}
-		ended := make(chan answer, 1)
+		ended := make(chan response, 1)
 		go func() {
 			resp, text, _ := do(t, front, "GET", "/x", "")
-			ended <- answer{resp, text}
+			ended <- response{resp, text}
 		}()
-		<-begun
+		<-started
 		g.SetStopping()
 		stopped := make(chan error, 1)
 		go func() { stopped <- front.Config.Shutdown(context.Background()) }()
 		convey.So(g.InFlight(), convey.ShouldEqual, 1)
 		close(release)
-		convey.Convey("The call ends whole and its connection ends", func() {
+		convey.Convey("The call completes and its connection is closed", func() {
 			a := <-ended
-			convey.So(a.text, convey.ShouldEqual, "whole")
+			convey.So(a.text, convey.ShouldEqual, "complete")
 			convey.So(a.resp.Close, convey.ShouldBeTrue)
 			convey.So(<-stopped, convey.ShouldBeNil)
 		})
 	})
 }
 
-// tableOf compiles a rules file without mistakes.
-func tableOf(t *testing.T, text string) *rule.Table {
+// compileRules compiles a rules file that must be valid.
+func compileRules(t *testing.T, text string) *rule.Table {
 	t.Helper()
 	file, problems := rule.Parse(text)
 	if len(problems) > 0 {
--- a/internal/request/gateway/idle_test.go
+++ b/internal/request/gateway/idle_test.go
@@ -12,16 +12,17 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/gateway"
 )
 
-// TestConnectionIdleTooLong sends at-most-once requests with pauses about as long
-// as a connection counts as proved alive, so that some meet one that has been idle
-// too long. Nothing may leave by it, and the request goes out on a new one.
+// TestConnectionIdleTooLong sends at-most-once requests with pauses of up to twice
+// the alive window, so that some are given a connection that has been idle for too
+// long. Nothing may be sent on it; the request must be sent on a new connection
+// instead.
 func TestConnectionIdleTooLong(t *testing.T) {
 	const (
 		callers = 8
 		calls   = 40
 	)
-	j := newJudge(t, nil)
-	front, _ := newGateway(t, gateway.Config{}, j.address())
+	s := newCountingServer(t, nil)
+	front, _ := newGateway(t, gateway.Config{}, s.address())
 	var wg sync.WaitGroup
 	for caller := range callers {
 		wg.Go(func() {
@@ -37,11 +38,11 @@
 	wg.Wait()
 }
 
-// TestCallerIdleFollowsRules keeps a caller's connection open without a request while
-// the rules change how long that may last.
+// TestCallerIdleFollowsRules keeps a caller's connection idle while the rules
+// extend the idle timeout. The new timeout must apply to the open connection.
 func TestCallerIdleFollowsRules(t *testing.T) {
-	j := newJudge(t, nil)
-	front, g := newGateway(t, gateway.Config{}, j.address())
+	s := newCountingServer(t, nil)
+	front, g := newGateway(t, gateway.Config{}, s.address())
 	setIdle := func(idle string) {
 		file, problems := rule.Parse("Path=/rosters Service=Booking # Mei Lin: rosters\nIdle=" + idle + " # Mei Lin: callers")
 		if len(problems) > 0 {
@@ -59,12 +60,12 @@
 	if _, err := conn.Write([]byte("GET /rosters HTTP/1.1\r\nHost: gateway\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	const longer = 3 * time.Second
-	setIdle(longer.String())
+	const extended = 3 * time.Second
+	setIdle(extended.String())
 	if _, err := io.Copy(io.Discard, conn); err != nil {
-		t.Errorf("read to the end of the connection: %v", err)
+		t.Errorf("read until the connection closes: %v", err)
 	}
-	if kept := time.Since(sent); kept < longer {
-		t.Errorf("connection was kept for %v, want at least the %v of the rules in force", kept, longer)
+	if kept := time.Since(sent); kept < extended {
+		t.Errorf("connection was kept for %v, want at least the idle timeout of %v in the current rules", kept, extended)
 	}
 }
--- a/internal/request/gateway/log.go
+++ b/internal/request/gateway/log.go
@@ -10,7 +10,7 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/event"
 )
 
-// requestID returns the caller's name of a request, or "" if callers name none.
+// requestID returns the caller's request id, or "" if there is none.
 func (g *Gateway) requestID(r *http.Request) string {
 	if g.cfg.Headers.RequestID == "" {
 		return ""
@@ -18,19 +18,19 @@
 	return r.Header.Get(g.cfg.Headers.RequestID)
 }
 
-// name adds the caller's name of the request to a log line, if it has one.
-func (g *Gateway) name(line *zerolog.Event, r *http.Request) *zerolog.Event {
+// withRequestID adds the caller's request id, if there is one, to a log event.
+func (g *Gateway) withRequestID(line *zerolog.Event, r *http.Request) *zerolog.Event {
 	if id := g.requestID(r); id != "" {
 		line = line.Str("Request", id)
 	}
 	return line
 }
 
-// logRoute writes the line of a routing decision, with the inputs that decided it.
+// logRoute logs a routing decision with its inputs.
 func (c *call) logRoute(a *attempt) {
 	choice := a.placement.Choice
-	line := c.g.name(event.Info(c.g.cfg.Logger, event.RouteChosen), c.r).Str("Attempt", a.id).
-		Int64("Generation", c.m.generation).Str("Service", c.m.lane.Service).Str("Server", choice.Server.Name).
+	line := c.g.withRequestID(event.Info(c.g.cfg.Logger, event.RouteChosen), c.r).Str("Attempt", a.id).
+		Int64("Generation", c.match.generation).Str("Service", c.match.lane.Service).Str("Server", choice.Server.Name).
 		Str("Reason", choice.Reason).Str("Kind", a.placement.Kind.String()).Dur("Queued", a.placement.Queued).
 		Dur("Left", time.Until(c.deadline))
 	if !choice.Report.At.IsZero() {
@@ -40,9 +40,9 @@
 	line.Send()
 }
 
-// logAttempt writes the line of an attempt that brought no answer for the caller.
+// logAttempt logs an attempt that was not used for the response.
 func (c *call) logAttempt(a *attempt) {
-	line := c.g.name(event.Info(c.g.cfg.Logger, event.AttemptFailed), c.r).Str("Attempt", a.id).
+	line := c.g.withRequestID(event.Info(c.g.cfg.Logger, event.AttemptFailed), c.r).Str("Attempt", a.id).
 		Str("Server", a.placement.Choice.Server.Name).Int("Code", int(a.code())).Str("Outcome", a.outcome.String()).
 		Dur("Took", a.latency)
 	if a.resp != nil {
@@ -51,11 +51,11 @@
 	line.Err(a.err).Send()
 }
 
-// logEnd writes the result line of a call that was answered.
-func (c *call) logEnd(a *attempt, bytes int64) {
-	c.m.lane.Metrics.Outcomes[mustardsaddle.Ran].Inc(1)
-	c.m.lane.Relayed(bytes)
-	c.g.name(event.Info(c.g.cfg.Logger, event.CallEnded), c.r).Str("Attempt", a.id).Str("Service", c.m.lane.Service).
+// logResult logs the result of a call that was answered, and updates its metrics.
+func (c *call) logResult(a *attempt, bytes int64) {
+	c.match.lane.Metrics.Outcomes[mustardsaddle.Ran].Inc(1)
+	c.match.lane.Relayed(bytes)
+	c.g.withRequestID(event.Info(c.g.cfg.Logger, event.CallEnded), c.r).Str("Attempt", a.id).Str("Service", c.match.lane.Service).
 		Str("Server", a.placement.Choice.Server.Name).Int("Status", a.resp.StatusCode).
 		Str("Outcome", mustardsaddle.Ran.String()).Int64("Bytes", bytes).Dur("Took", time.Since(c.start)).Send()
 }
--- a/internal/request/gateway/manner.go
+++ b/internal/request/gateway/manner.go
@@ -1,14 +1,14 @@
 package gateway
 
-// manner says by which connection an attempt goes.
-type manner int
+// connectionPolicy states which connections an attempt may use.
+type connectionPolicy int
 
 const (
-	// newConnection is one that nothing else uses, before or after.
-	newConnection manner = iota
-	// anyConnection may be one that has served before.
+	// newConnection requires a connection that is used for this attempt only.
+	newConnection connectionPolicy = iota
+	// anyConnection permits any idle connection of the pool.
 	anyConnection
-	// aliveConnection may be one that carried an answer within
+	// aliveConnection permits an idle connection that returned a response within
 	// connection.AliveWindow.
 	aliveConnection
 )
--- a/internal/request/gateway/match.go
+++ b/internal/request/gateway/match.go
@@ -15,75 +15,75 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/refusal"
 )
 
-// maxPatience bounds the time that a caller may say it waits.
-const maxPatience = 24 * time.Hour
+// maxCallerTimeout is the longest timeout that is accepted from a caller.
+const maxCallerTimeout = 24 * time.Hour
 
-// matched is the result of the match filter.
-type matched struct {
+// matchResult is the result of the match stage.
+type matchResult struct {
 	rule     rule.Rule
 	repeat   mustardsaddle.Repeat
 	deadline time.Duration
-	// generation is that of the rules that matched.
+	// generation is the generation of the rules that matched.
 	generation int64
-	// attempts bounds the servers that the request is sent to.
+	// attempts is the maximum number of attempts.
 	attempts int
 	lane     *admission.Lane
 }
 
-// match finds the rule of a request, or refuses what has none or could not be
-// forwarded faithfully.
-func (g *Gateway) match(r *http.Request) (matched, *refusal.Refusal) {
+// match finds the rule of a request. It refuses a request that has no rule or
+// cannot be forwarded unchanged.
+func (g *Gateway) match(r *http.Request) (matchResult, *refusal.Refusal) {
 	table := g.rules.Load()
 	if table == nil {
-		return matched{}, refusal.NotRun(code.CallNotReady)
+		return matchResult{}, refusal.NotRun(code.CallNotReady)
 	}
-	if upgrades(r) {
-		return matched{}, refusal.NotRun(code.CallUpgrade)
+	if isUpgrade(r) {
+		return matchResult{}, refusal.NotRun(code.CallUpgrade)
 	}
 	if r.ContentLength > g.cfg.BodyBytes {
-		return matched{}, refusal.NotRun(code.CallTooLarge)
+		return matchResult{}, refusal.NotRun(code.CallTooLarge)
 	}
 	found, ok := table.Match(r)
 	if !ok {
-		return matched{}, refusal.NotRun(code.CallNoRule)
+		return matchResult{}, refusal.NotRun(code.CallNoRule)
 	}
-	m := matched{
-		rule: found, generation: table.File.Generation, repeat: found.RepeatOf(r.Method), lane: g.lanes.Lane(g.pick(table.Split(found))),
+	m := matchResult{
+		rule: found, generation: table.File.Generation, repeat: found.RepeatOf(r.Method), lane: g.lanes.Lane(g.pickService(table.Split(found))),
 		deadline: cmp.Or(found.Deadline, g.cfg.Deadline), attempts: cmp.Or(found.Attempts, g.cfg.MaxAttempts),
 	}
 	if m.lane == nil {
-		return matched{}, refusal.NotRun(code.CallNoServer)
+		return matchResult{}, refusal.NotRun(code.CallNoServer)
 	}
-	if waits, ok := g.patience(r); ok {
-		m.deadline = min(m.deadline, waits)
+	if timeout, ok := g.callerTimeout(r); ok {
+		m.deadline = min(m.deadline, timeout)
 	}
 	return m, nil
 }
 
-// pick draws the service of one call.
-func (g *Gateway) pick(s rule.Split) string {
+// pickService selects the service of one call by weight.
+func (g *Gateway) pickService(s rule.Split) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return s.Pick(g.rng)
 }
 
-// patience returns how long the caller says that it waits. The project's own
-// header comes from gateways alone, and is not believed of callers.
-func (g *Gateway) patience(r *http.Request) (time.Duration, bool) {
+// callerTimeout returns the timeout that the caller states. The project's own
+// header is set by gateways only, so it is ignored in callers' requests.
+func (g *Gateway) callerTimeout(r *http.Request) (time.Duration, bool) {
 	name := g.cfg.Headers.Deadline
 	if name == "" || name == header.Deadline {
 		return 0, false
 	}
 	millis, err := strconv.ParseInt(r.Header.Get(name), 10, 64)
-	if err != nil || millis < 0 || millis > maxPatience.Milliseconds() {
+	if err != nil || millis < 0 || millis > maxCallerTimeout.Milliseconds() {
 		return 0, false
 	}
 	return time.Duration(millis) * time.Millisecond, true
 }
 
-// upgrades reports whether the request asks for another protocol. An offer of
-// unencrypted HTTP/2 may be ignored, and is.
-func upgrades(r *http.Request) bool {
+// isUpgrade reports whether the request asks for another protocol. An offer of
+// unencrypted HTTP/2 is optional and is ignored.
+func isUpgrade(r *http.Request) bool {
 	if r.Method == http.MethodConnect {
 		return true
 	}
--- a/internal/request/gateway/prober_test.go
+++ b/internal/request/gateway/prober_test.go
@@ -15,30 +15,30 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/gateway"
 )
 
-// purse grants a number of messages and no more.
-type purse struct{ left atomic.Int64 }
+// countedBudget is a probe budget that grants a fixed number of messages.
+type countedBudget struct{ left atomic.Int64 }
 
-func (p *purse) Take(_ time.Time, messages, _ int) bool {
+func (p *countedBudget) Take(_ time.Time, messages, _ int) bool {
 	return p.left.Add(-int64(messages)) >= 0
 }
 
 func TestProberStaysInItsBudget(t *testing.T) {
 	convey.Convey("Given a budget of five probes", t, func() {
 		var probes atomic.Int64
-		j := newJudge(t, func(w http.ResponseWriter, _ *http.Request) {
+		s := newCountingServer(t, func(w http.ResponseWriter, _ *http.Request) {
 			probes.Add(1)
 			w.Header().Set(report.Header, report.Format(1, 2, true))
 		})
-		heard := make(chan mustardsaddle.Report, 100)
+		reports := make(chan mustardsaddle.Report, 100)
 		_, g := newGateway(t, gateway.Config{Admission: admission.Options{
-			OnReport: func(_ time.Time, _, _ string, rep mustardsaddle.Report) { heard <- rep },
-		}}, j.address())
-		budget := &purse{}
+			OnReport: func(_ time.Time, _, _ string, rep mustardsaddle.Report) { reports <- rep },
+		}}, s.address())
+		budget := &countedBudget{}
 		budget.left.Store(5)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go admission.NewProber(admission.ProberConfig{Lanes: g.Lanes(), Budget: budget, Interval: time.Millisecond}).Run(ctx, done)
-		convey.So((<-heard).Draining, convey.ShouldBeTrue)
+		convey.So((<-reports).Draining, convey.ShouldBeTrue)
 		for budget.left.Load() > -3 {
 			time.Sleep(time.Millisecond)
 		}
@@ -49,22 +49,22 @@
 }
 
 func TestProberPassesASilentServer(t *testing.T) {
-	j := newJudge(t, func(w http.ResponseWriter, _ *http.Request) {
+	s := newCountingServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(report.Header, report.Format(1, 2, false))
 	})
-	silent := newLink(t, j.address(), func(int) fault { return fault{up: 1, freeze: true} })
-	heard := make(chan string, 1000)
-	onReport := func(_ time.Time, _, server string, _ mustardsaddle.Report) { heard <- server }
-	_, g := newGateway(t, gateway.Config{Admission: admission.Options{OnReport: onReport}}, silent.Addr().String(), j.address())
-	budget := &purse{}
+	silent := newFaultProxy(t, s.address(), func(int) fault { return fault{upBytes: 1, freeze: true} })
+	reports := make(chan string, 1000)
+	onReport := func(_ time.Time, _, server string, _ mustardsaddle.Report) { reports <- server }
+	_, g := newGateway(t, gateway.Config{Admission: admission.Options{OnReport: onReport}}, silent.Addr().String(), s.address())
+	budget := &countedBudget{}
 	budget.left.Store(100)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	cfg := admission.ProberConfig{Lanes: g.Lanes(), Budget: budget, Interval: time.Millisecond, Timeout: time.Minute}
 	go admission.NewProber(cfg).Run(ctx, done)
 	for range 5 {
-		if server := <-heard; server != j.address() {
-			t.Errorf("got a report of %s, want one of %s", server, j.address())
+		if server := <-reports; server != s.address() {
+			t.Errorf("got a load report of %s, want one of %s", server, s.address())
 		}
 	}
 	cancel()
--- a/internal/request/gateway/relay.go
+++ b/internal/request/gateway/relay.go
@@ -13,16 +13,17 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/refusal"
 )
 
-// copyBufferBytes is the size of the buffers that bodies pass through. An answer
-// that fits in one is read whole before its header is relayed, so that a cut still
-// gets a clear code.
+// copyBufferBytes is the size of the buffers for bodies. A response body that fits
+// in one is read completely before the header is sent, so that a truncated one is
+// still answered with a code.
 const copyBufferBytes = 32 << 10
 
-// relay passes the server's answer on. It comes whole, or else the caller's
-// connection is aborted so that a cut is never taken for the end.
+// relay sends the server's response to the caller. If the response is incomplete,
+// the caller's connection is aborted, so that a truncated body is never taken for a
+// complete one.
 func (c *call) relay(a *attempt) {
-	c.settle()
-	src := newSource(c, a)
+	c.startResponse()
+	src := newBodySource(c, a)
 	defer src.close()
 	buf, _ := c.g.buffers.Get().(*[copyBufferBytes]byte)
 	defer c.g.buffers.Put(buf)
@@ -30,46 +31,46 @@
 	if !c.bodyExpected(a) {
 		c.relayHeader(h, a)
 		c.w.WriteHeader(a.resp.StatusCode)
-		c.logEnd(a, 0)
+		c.logResult(a, 0)
 		return
 	}
 	if a.resp.ContentLength >= 0 && a.resp.ContentLength <= copyBufferBytes {
-		c.relaySmall(h, a, src, buf[:a.resp.ContentLength])
+		c.relayBuffered(h, a, src, buf[:a.resp.ContentLength])
 		return
 	}
-	if !c.delimit(h, a) {
+	if !c.allowCloseDelimited(h, a) {
 		c.refuse(&refusal.Refusal{Code: code.CallBroken, Outcome: mustardsaddle.Unknown})
 		return
 	}
 	c.relayHeader(h, a)
-	c.g.extend(c.w)
+	c.g.extendWriteDeadline(c.w)
 	c.w.WriteHeader(a.resp.StatusCode)
 	n, err := c.copyBody(src, buf[:], a.resp.ContentLength < 0)
 	if err != nil {
-		c.cut(a, n, err)
+		c.abortResponse(a, n, err)
 	}
 	for name, values := range a.resp.Trailer {
 		if !header.HopByHop(name) {
 			h[http.TrailerPrefix+name] = values
 		}
 	}
-	c.logEnd(src.attempt, n)
+	c.logResult(src.attempt, n)
 }
 
-// relaySmall reads a small answer whole, then writes it.
-func (c *call) relaySmall(h http.Header, a *attempt, src *source, buf []byte) {
+// relayBuffered reads a small response completely before it is sent.
+func (c *call) relayBuffered(h http.Header, a *attempt, src *bodySource, buf []byte) {
 	if _, err := io.ReadFull(src, buf); err != nil {
-		c.refuse(&refusal.Refusal{Code: code.CallBroken, Outcome: mustardsaddle.Unknown, RetryAfter: c.m.lane.RetryAfter()})
+		c.refuse(&refusal.Refusal{Code: code.CallBroken, Outcome: mustardsaddle.Unknown, RetryAfter: c.match.lane.RetryAfter()})
 		return
 	}
 	c.relayHeader(h, a)
-	c.g.extend(c.w)
+	c.g.extendWriteDeadline(c.w)
 	c.w.WriteHeader(a.resp.StatusCode)
 	_, _ = c.w.Write(buf)
-	c.logEnd(src.attempt, int64(len(buf)))
+	c.logResult(src.attempt, int64(len(buf)))
 }
 
-// relayHeader copies the answer's header.
+// relayHeader copies the response header.
 func (c *call) relayHeader(h http.Header, a *attempt) {
 	header.CopyEndToEnd(h, a.resp.Header)
 	own := [...]string{mustardsaddle.Ran.String(), a.id}
@@ -86,16 +87,17 @@
 	}
 }
 
-// bodyExpected reports whether the answer can have a body.
+// bodyExpected reports whether the response can have a body.
 func (c *call) bodyExpected(a *attempt) bool {
 	status := a.resp.StatusCode
 	return c.r.Method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// delimit sees to an answer whose end only the closing of its connection marks.
-// Nobody can tell its end from a cut. A caller by HTTP/1 gets it in the same form
-// and knows as much; HTTP/2 has no such form, so it returns false.
-func (c *call) delimit(h http.Header, a *attempt) bool {
+// allowCloseDelimited handles a response whose end is marked only by the close of
+// the connection, so that truncation cannot be detected. A caller on HTTP/1 gets it
+// in the same form, with the same ambiguity. HTTP/2 has no such form, so the result
+// is false.
+func (c *call) allowCloseDelimited(h http.Header, a *attempt) bool {
 	if a.resp.ContentLength >= 0 || len(a.resp.TransferEncoding) > 0 {
 		return true
 	}
@@ -106,8 +108,9 @@
 	return true
 }
 
-// copyBody copies through one buffer, and flushes each part of a stream.
-func (c *call) copyBody(src *source, buf []byte, stream bool) (int64, error) {
+// copyBody copies the body through one buffer, and flushes after each write if it
+// is a stream.
+func (c *call) copyBody(src *bodySource, buf []byte, stream bool) (int64, error) {
 	rc := http.NewResponseController(c.w)
 	if stream {
 		_ = rc.Flush()
@@ -116,7 +119,7 @@
 	for {
 		n, err := src.Read(buf)
 		if n > 0 {
-			c.g.extend(c.w)
+			c.g.extendWriteDeadline(c.w)
 			if _, werr := c.w.Write(buf[:n]); werr != nil {
 				return total, werr
 			}
@@ -134,19 +137,21 @@
 	}
 }
 
-// cut aborts the caller's connection. It does not return.
-func (c *call) cut(a *attempt, n int64, err error) {
-	c.m.lane.Metrics.Cut.Inc(1)
-	c.m.lane.Metrics.Outcomes[mustardsaddle.Ran].Inc(1)
-	c.reset(a)
-	c.g.name(event.Warn(c.g.cfg.Logger, event.CallCut), c.r).Str("Attempt", a.id).Str("Service", c.m.lane.Service).
+// abortResponse aborts a response that could not be relayed completely. It does not
+// return.
+func (c *call) abortResponse(a *attempt, n int64, err error) {
+	c.match.lane.Metrics.Cut.Inc(1)
+	c.match.lane.Metrics.Outcomes[mustardsaddle.Ran].Inc(1)
+	c.resetConnection(a)
+	c.g.withRequestID(event.Warn(c.g.cfg.Logger, event.CallCut), c.r).Str("Attempt", a.id).Str("Service", c.match.lane.Service).
 		Str("Server", a.placement.Choice.Server.Name).Int("Code", int(code.CallBroken)).Int64("Bytes", n).Err(err).Send()
 	panic(http.ErrAbortHandler)
 }
 
-// reset makes the cut of an answer visible whose end only the closing of the
-// connection marks: the caller's connection is reset instead of closed.
-func (c *call) reset(a *attempt) {
+// resetConnection resets the caller's connection instead of closing it if only the
+// close marks the end of the response, so that the caller can detect the
+// truncation.
+func (c *call) resetConnection(a *attempt) {
 	if c.r.ProtoMajor > 1 || (a.resp.ContentLength >= 0 || len(a.resp.TransferEncoding) > 0) && c.r.ProtoAtLeast(1, 1) {
 		return
 	}
--- a/internal/request/gateway/resume.go
+++ b/internal/request/gateway/resume.go
@@ -16,58 +16,58 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/booking"
 )
 
-// maxResumes bounds the requests for the rest of a download that bring nothing.
+// maxResumes bounds the consecutive range requests that bring no data.
 const maxResumes = 3
 
-// source reads the body of an answer. It bounds how long the body may stand still,
-// checks its length, and goes on with another server's bytes where it can prove
-// that they belong to the same body: an idempotent GET whose answer has a strong
-// ETag and a length, continued by Range and If-Range.
-type source struct {
-	c       *call
-	attempt *attempt
-	etag    string
-	total   int64
-	offset  int64
-	failed  int
-	timer   *time.Timer
+// bodySource reads a response body. It enforces the progress timeout and checks the
+// length. If the body breaks off, it continues from another server where the bytes
+// provably belong to the same body: for an idempotent GET whose response has a
+// strong ETag and a length, by means of Range and If-Range.
+type bodySource struct {
+	c            *call
+	attempt      *attempt
+	etag         string
+	total        int64
+	offset       int64
+	emptyResumes int
+	timer        *time.Timer
 
 	mu sync.Mutex
 }
 
-func newSource(c *call, a *attempt) *source {
-	s := &source{c: c, attempt: a, total: a.resp.ContentLength}
+func newBodySource(c *call, a *attempt) *bodySource {
+	s := &bodySource{c: c, attempt: a, total: a.resp.ContentLength}
 	if c.resumable(a) {
 		s.etag = a.resp.Header.Get("Etag")
 	}
-	s.timer = time.AfterFunc(c.g.cfg.Progress, s.expire)
+	s.timer = time.AfterFunc(c.g.cfg.Progress, s.onStall)
 	return s
 }
 
-// resumable reports whether the rest of the answer may come from another server.
+// resumable reports whether another server may send the rest of the body.
 func (c *call) resumable(a *attempt) bool {
 	etag := a.resp.Header.Get("Etag")
-	return c.r.Method == http.MethodGet && c.m.repeat == mustardsaddle.RepeatYes &&
+	return c.r.Method == http.MethodGet && c.match.repeat == mustardsaddle.RepeatYes &&
 		a.resp.StatusCode == http.StatusOK && a.resp.ContentLength > 0 &&
 		c.r.Header.Get("Range") == "" && strings.HasPrefix(etag, `"`)
 }
 
-// expire cancels the present attempt, which makes no progress.
-func (s *source) expire() {
+// onStall cancels the current attempt when the body makes no progress.
+func (s *bodySource) onStall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.attempt.cancel(errProgress)
+	s.attempt.cancel(errStalled)
 }
 
-// Read reads on from the present attempt, or from a further one.
-func (s *source) Read(p []byte) (int, error) {
+// Read reads from the current attempt, and resumes the body if it breaks off.
+func (s *bodySource) Read(p []byte) (int, error) {
 	for {
 		s.timer.Reset(s.c.g.cfg.Progress)
 		n, err := s.attempt.resp.Body.Read(p)
 		s.timer.Stop()
 		s.offset += int64(n)
 		if n > 0 {
-			s.failed = 0
+			s.emptyResumes = 0
 		}
 		if err == io.EOF && s.total >= 0 && s.offset < s.total && s.c.bodyExpected(s.attempt) {
 			err = io.ErrUnexpectedEOF
@@ -84,12 +84,12 @@
 	}
 }
 
-// resume replaces the broken attempt by one that brings the rest.
-func (s *source) resume(cause error) error {
+// resume replaces the failed attempt by one that continues the body.
+func (s *bodySource) resume(cause error) error {
 	broken := s.attempt
-	for s.c.r.Context().Err() == nil && s.failed < maxResumes {
-		s.failed++
-		next, ok := s.request()
+	for s.c.r.Context().Err() == nil && s.emptyResumes < maxResumes {
+		s.emptyResumes++
+		next, ok := s.requestRest()
 		if !ok {
 			continue
 		}
@@ -98,7 +98,7 @@
 		s.mu.Unlock()
 		broken.err = cause
 		broken.finish()
-		l := s.c.m.lane
+		l := s.c.match.lane
 		l.Metrics.Resumed.Inc(1)
 		event.Info(s.c.g.cfg.Logger, event.CallResumed).Str("Attempt", next.id).Str("Service", l.Service).
 			Str("Server", next.placement.Choice.Server.Name).Int64("Offset", s.offset).Err(cause).Send()
@@ -107,10 +107,10 @@
 	return cause
 }
 
-// request asks another server for the rest, and checks that it is the rest of the
-// same body.
-func (s *source) request() (*attempt, bool) {
-	l := s.c.m.lane
+// requestRest requests the rest of the body from another server, and verifies that
+// it continues the same body.
+func (s *bodySource) requestRest() (*attempt, bool) {
+	l := s.c.match.lane
 	if !l.TakeRetry(time.Now()) {
 		return nil, false
 	}
@@ -119,14 +119,14 @@
 		return nil, false
 	}
 	a := s.c.newAttempt(admission.Placement{Kind: booking.Retry, Choice: choice}, newConnection)
-	timer := time.AfterFunc(s.c.m.deadline, func() { a.cancel(errDeadline) })
+	timer := time.AfterFunc(s.c.match.deadline, func() { a.cancel(errDeadline) })
 	a.send(func(h http.Header) {
 		h["Range"] = []string{fmt.Sprintf("bytes=%d-", s.offset)}
 		h["If-Range"] = []string{s.etag}
 		delete(h, s.c.g.cfg.Headers.Deadline)
 	})
 	timer.Stop()
-	if err := s.check(a); err != nil {
+	if err := s.checkRest(a); err != nil {
 		if a.err == nil {
 			a.cancel(err)
 		}
@@ -136,10 +136,10 @@
 	return a, true
 }
 
-var errOtherBody = errors.New("resume download: server has another body")
+var errBodyMismatch = errors.New("resume download: server returned a different body")
 
-// check returns an error unless the answer continues the body at the offset.
-func (s *source) check(a *attempt) error {
+// checkRest returns an error unless the response continues the body at the offset.
+func (s *bodySource) checkRest(a *attempt) error {
 	if a.outcome != mustardsaddle.Ran {
 		return code.Wrapf(code.CallBroken, a.err, "resume download at %d: got outcome %v", s.offset, a.outcome)
 	}
@@ -147,13 +147,13 @@
 	h := a.resp.Header
 	if a.resp.StatusCode != http.StatusPartialContent || h.Get("Etag") != s.etag || h.Get("Content-Range") != want ||
 		a.resp.ContentLength != s.total-s.offset {
-		return errOtherBody
+		return errBodyMismatch
 	}
 	return nil
 }
 
-// close ends the present attempt.
-func (s *source) close() {
+// close finishes the current attempt.
+func (s *bodySource) close() {
 	s.timer.Stop()
 	s.attempt.finish()
 }
--- a/internal/request/gateway/retry_test.go
+++ b/internal/request/gateway/retry_test.go
@@ -13,18 +13,19 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/gateway"
 )
 
-// TestRetryWaitsForAServer has a server that refuses connections and one that is
-// busy. A call that the first one did not run waits for the second like any other.
+// TestRetryWaitsForAServer uses one server that refuses connections and one that is
+// busy. A call that the first server did not execute must queue for the second one
+// like any other call.
 func TestRetryWaitsForAServer(t *testing.T) {
 	const calls = 12
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	refuses := closed.Addr().String()
+	closedAddress := closed.Addr().String()
 	_ = closed.Close()
-	busy := newJudge(t, func(http.ResponseWriter, *http.Request) { time.Sleep(20 * time.Millisecond) })
-	front, _ := newGateway(t, gateway.Config{Deadline: 10 * time.Second, Admission: admission.Options{RetryShare: 1}}, refuses, busy.address())
+	busy := newCountingServer(t, func(http.ResponseWriter, *http.Request) { time.Sleep(20 * time.Millisecond) })
+	front, _ := newGateway(t, gateway.Config{Deadline: 10 * time.Second, Admission: admission.Options{RetryShare: 1}}, closedAddress, busy.address())
 	var wg sync.WaitGroup
 	for i := range calls {
 		wg.Go(func() {
@@ -37,15 +38,15 @@
 	wg.Wait()
 }
 
-// TestConnectionsByRules bounds the attempts at a server by the connections that the
-// rules state for its service.
+// TestConnectionsByRules checks that the connection limit in the rules bounds the
+// concurrent attempts at a server.
 func TestConnectionsByRules(t *testing.T) {
 	release, arrived := make(chan struct{}), make(chan struct{}, 2)
-	j := newJudge(t, func(http.ResponseWriter, *http.Request) {
+	s := newCountingServer(t, func(http.ResponseWriter, *http.Request) {
 		arrived <- struct{}{}
 		<-release
 	})
-	front, g := newGateway(t, gateway.Config{Admission: admission.Options{MaxWaiting: -1, HedgeShare: -1}}, j.address())
+	front, g := newGateway(t, gateway.Config{Admission: admission.Options{MaxWaiting: -1, HedgeShare: -1}}, s.address())
 	file, problems := rule.Parse("Path=/rosters Service=Booking # Mei Lin: rosters\nService=Booking Connections=1 # Mei Lin: servers")
 	if len(problems) > 0 {
 		t.Fatal(problems)
@@ -64,7 +65,7 @@
 	second := time.AfterFunc(10*time.Second, func() { close(release) })
 	resp, _, err := do(t, front, http.MethodGet, "/rosters", "")
 	if err != nil || resp.StatusCode != http.StatusTooManyRequests {
-		t.Errorf("second call: got %v %v, want it refused for the one connection", resp, err)
+		t.Errorf("second call: got %v %v, want 429 because of the limit of one connection", resp, err)
 	}
 	if second.Stop() {
 		close(release)
--- a/internal/request/gateway/server.go
+++ b/internal/request/gateway/server.go
@@ -10,34 +10,34 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/connection"
 )
 
-// Defaults of a ServerConfig.
+// Default values of ServerConfig.
 const (
-	defaultHeaderBytes   = 64 << 10
-	defaultHeaderTimeout = 10 * time.Second
-	defaultCallerIdle    = 60 * time.Second
-	maxStreams           = 250
+	defaultHeaderBytes       = 64 << 10
+	defaultHeaderTimeout     = 10 * time.Second
+	defaultCallerIdleTimeout = 60 * time.Second
+	maxConcurrentStreams     = 250
 )
 
-// ServerConfig configures the HTTP server towards callers. Zero values mean the
+// ServerConfig configures the HTTP server for callers. A zero value means the
 // default.
 type ServerConfig struct {
-	// Handler answers the requests.
+	// Handler handles the requests.
 	Handler *Gateway
-	// HeaderBytes bounds a request header.
+	// HeaderBytes is the maximum size of a request header.
 	HeaderBytes int
-	// HeaderTimeout bounds the reading of a request header.
+	// HeaderTimeout bounds the time to read a request header.
 	HeaderTimeout time.Duration
-	// Logger takes what net/http reports.
+	// Logger receives the errors that net/http logs.
 	Logger zerolog.Logger
 }
 
-// NewServer returns a server for HTTP/1.1 and unencrypted HTTP/2. It has no bound
-// on the whole time of a request: bodies are bounded by their progress. Unused
-// connections are kept for the time that the rules in force state.
+// NewServer returns a server for HTTP/1.1 and unencrypted HTTP/2. The total time of
+// a request is not limited; bodies are limited by the progress timeout. Idle
+// connections are kept for the time that the current rules set.
 func NewServer(cfg ServerConfig) *http.Server {
 	setDefault(&cfg.HeaderBytes, defaultHeaderBytes)
 	setDefault(&cfg.HeaderTimeout, defaultHeaderTimeout)
-	idle := connection.NewIdleCloser(cfg.Handler.idleLimit)
+	idle := connection.NewIdleCloser(cfg.Handler.callerIdleTimeout)
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
@@ -48,15 +48,15 @@
 		IdleTimeout:       connection.ServerIdleTimeout,
 		ConnState:         idle.StateChanged,
 		Protocols:         protocols,
-		HTTP2:             &http.HTTP2Config{MaxConcurrentStreams: maxStreams},
+		HTTP2:             &http.HTTP2Config{MaxConcurrentStreams: maxConcurrentStreams},
 		ErrorLog:          log.New(cfg.Logger, "", 0),
 	}
 }
 
-// idleLimit returns how long a caller's connection is kept without a request.
-func (g *Gateway) idleLimit() time.Duration {
+// callerIdleTimeout returns how long a caller's idle connection is kept.
+func (g *Gateway) callerIdleTimeout() time.Duration {
 	if table := g.rules.Load(); table != nil && table.Idle() > 0 {
 		return min(table.Idle(), connection.MaxIdleTimeout)
 	}
-	return defaultCallerIdle
+	return defaultCallerIdleTimeout
 }
--- a/internal/request/gateway/whole_test.go
+++ b/internal/request/gateway/whole_test.go
@@ -22,15 +22,16 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/header"
 )
 
-// TestEachCallerGetsItsOwnAnswer runs callers with distinct bodies of distinct
-// sizes over few connections, with late answers and callers that go away.
+// TestEachCallerGetsItsOwnAnswer sends requests with distinct bodies of distinct
+// sizes over few connections, with delayed responses, canceled requests and
+// connection resets. No caller may get the response of another.
 func TestEachCallerGetsItsOwnAnswer(t *testing.T) {
-	j := newJudge(t, func(w http.ResponseWriter, r *http.Request) {
+	s := newCountingServer(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		time.Sleep(time.Duration(len(body)%7) * time.Millisecond)
 		_, _ = w.Write(append(body, r.URL.RawQuery...))
 	})
-	a, b := newLink(t, j.address(), nil), newLink(t, j.address(), nil)
+	a, b := newFaultProxy(t, s.address(), nil), newFaultProxy(t, s.address(), nil)
 	cfg := gateway.Config{Admission: admission.Options{MinHedge: time.Millisecond, HedgeShare: 1, RetryShare: 1}}
 	front, _ := newGateway(t, cfg, a.Addr().String(), b.Addr().String())
 	var wg sync.WaitGroup
@@ -52,7 +53,7 @@
 				}
 				cancel()
 				if caller == 0 && i%10 == 9 {
-					a.cut()
+					a.resetAll()
 				}
 			}
 		})
@@ -60,8 +61,9 @@
 	wg.Wait()
 }
 
-// TestAnswerOfAnotherAttempt has a server that answers each request with the
-// answer of the one before, as a confused connection would.
+// TestAnswerOfAnotherAttempt uses a server that answers each request with the
+// response to the previous one, as on a connection whose responses are out of step.
+// The gateway must not relay it.
 func TestAnswerOfAnotherAttempt(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -96,34 +98,35 @@
 	}
 }
 
-// video is a body that is made as it is read.
-type video struct{ size, at int64 }
+// patternBody generates a deterministic body while it is read.
+type patternBody struct{ size, pos int64 }
 
-func (v *video) Read(p []byte) (int, error) {
-	if v.at >= v.size {
+func (b *patternBody) Read(p []byte) (int, error) {
+	if b.pos >= b.size {
 		return 0, io.EOF
 	}
-	n := int(min(int64(len(p)), v.size-v.at))
+	n := int(min(int64(len(p)), b.size-b.pos))
 	for i := range n {
-		p[i] = byte((v.at + int64(i)) * 2654435761 >> 13)
+		p[i] = byte((b.pos + int64(i)) * 2654435761 >> 13)
 	}
-	v.at += int64(n)
+	b.pos += int64(n)
 	return n, nil
 }
 
-func (v *video) Seek(offset int64, whence int) (int64, error) {
+func (b *patternBody) Seek(offset int64, whence int) (int64, error) {
 	switch whence {
 	case io.SeekStart:
-		v.at = offset
+		b.pos = offset
 	case io.SeekCurrent:
-		v.at += offset
+		b.pos += offset
 	case io.SeekEnd:
-		v.at = v.size + offset
+		b.pos = b.size + offset
 	}
-	return v.at, nil
+	return b.pos, nil
 }
 
-// download reads a URL to its end and returns its digest and the largest heap.
+// download reads a URL to its end and returns the digest, the size and the largest
+// heap.
 func download(front *httptest.Server) (sum string, n int64, heap uint64, err error) {
 	resp, err := front.Client().Get(front.URL + "/video")
 	if err != nil {
@@ -147,17 +150,17 @@
 func TestDownloadAcrossKilledServers(t *testing.T) {
 	const size = 200 << 20
 	want := sha256.New()
-	_, _ = io.Copy(want, &video{size: size})
+	_, _ = io.Copy(want, &patternBody{size: size})
 	for _, etag := range []string{`"v1"`, `W/"v1"`, ""} {
 		t.Run("etag "+etag, func(t *testing.T) {
-			j := newJudge(t, func(w http.ResponseWriter, r *http.Request) {
+			s := newCountingServer(t, func(w http.ResponseWriter, r *http.Request) {
 				if etag != "" {
 					w.Header().Set("Etag", etag)
 				}
-				http.ServeContent(w, r, "video.mp4", time.Time{}, &video{size: size})
+				http.ServeContent(w, r, "video.mp4", time.Time{}, &patternBody{size: size})
 			})
-			dies := func(n int) fault { return fault{down: 70 << 20, half: n%2 == 0} }
-			a, b := newLink(t, j.address(), dies), newLink(t, j.address(), dies)
+			breaks := func(n int) fault { return fault{downBytes: 70 << 20, halfClose: n%2 == 0} }
+			a, b := newFaultProxy(t, s.address(), breaks), newFaultProxy(t, s.address(), breaks)
 			front, _ := newGateway(t, gateway.Config{}, a.Addr().String(), b.Addr().String())
 			runtime.GC()
 			var before runtime.MemStats
@@ -165,10 +168,10 @@
 			sum, n, heap, err := download(front)
 			if etag == `"v1"` {
 				if err != nil || n != size || sum != fmt.Sprintf("%x", want.Sum(nil)) {
-					t.Errorf("got %d bytes, digest %s, %v, want the whole video", n, sum, err)
+					t.Errorf("got %d bytes, digest %s, %v, want the complete body", n, sum, err)
 				}
 			} else if err == nil {
-				t.Errorf("got %d bytes and a clean end, want a visible cut", n)
+				t.Errorf("got %d bytes and no error, want a visible truncation", n)
 			}
 			if heap > before.HeapAlloc+(32<<20) {
 				t.Errorf("heap grew from %d to %d bytes, want constant memory", before.HeapAlloc, heap)
@@ -178,19 +181,19 @@
 }
 
 func TestResumeChecksTheBody(t *testing.T) {
-	convey.Convey("Given a second server that has another version of the video", t, func() {
-		version := func(etag string) *judge {
-			return newJudge(t, func(w http.ResponseWriter, r *http.Request) {
+	convey.Convey("Given a second server with a different version of the body", t, func() {
+		version := func(etag string) *countingServer {
+			return newCountingServer(t, func(w http.ResponseWriter, r *http.Request) {
 				w.Header().Set("Etag", etag)
-				r.Header.Del("If-Range") // a server that does not know it
-				http.ServeContent(w, r, "video.mp4", time.Time{}, &video{size: 4 << 20})
+				r.Header.Del("If-Range") // a server that does not support If-Range
+				http.ServeContent(w, r, "video.mp4", time.Time{}, &patternBody{size: 4 << 20})
 			})
 		}
-		dies := func(int) fault { return fault{down: 1 << 20} }
-		a := newLink(t, version(`"v1"`).address(), dies)
-		b := newLink(t, version(`"v2"`).address(), dies)
+		breaks := func(int) fault { return fault{downBytes: 1 << 20} }
+		a := newFaultProxy(t, version(`"v1"`).address(), breaks)
+		b := newFaultProxy(t, version(`"v2"`).address(), breaks)
 		front, _ := newGateway(t, gateway.Config{}, a.Addr().String(), b.Addr().String())
-		convey.Convey("The download is cut, not mixed", func() {
+		convey.Convey("The download is truncated instead of mixing both versions", func() {
 			_, n, _, err := download(front)
 			convey.So(err, convey.ShouldNotBeNil)
 			convey.So(n, convey.ShouldBeLessThan, 4<<20)
@@ -198,61 +201,64 @@
 	})
 }
 
-// TestCutOfAStreamIsVisible cuts answers that state no length.
+// TestCutOfAStreamIsVisible truncates responses that state no length. The caller
+// must be able to detect it.
 func TestCutOfAStreamIsVisible(t *testing.T) {
-	for name, head := range map[string]string{"chunked": "", "until close": "HTTP/1.1 200 OK\r\n\r\n"} {
+	for name, head := range map[string]string{"chunked": "", "close-delimited": "HTTP/1.1 200 OK\r\n\r\n"} {
 		t.Run(name, func(t *testing.T) {
-			j := newJudge(t, func(w http.ResponseWriter, _ *http.Request) {
+			s := newCountingServer(t, func(w http.ResponseWriter, _ *http.Request) {
 				if head == "" {
-					_, _ = io.Copy(w, &video{size: 4 << 20})
+					_, _ = io.Copy(w, &patternBody{size: 4 << 20})
 					return
 				}
 				c, _, _ := http.NewResponseController(w).Hijack()
 				_, _ = io.WriteString(c, head)
-				_, _ = io.Copy(c, &video{size: 4 << 20})
+				_, _ = io.Copy(c, &patternBody{size: 4 << 20})
 				_ = c.Close()
 			})
-			l := newLink(t, j.address(), func(int) fault { return fault{down: 1 << 20} })
-			front, _ := newGateway(t, gateway.Config{}, l.Addr().String())
+			p := newFaultProxy(t, s.address(), func(int) fault { return fault{downBytes: 1 << 20} })
+			front, _ := newGateway(t, gateway.Config{}, p.Addr().String())
 			if _, n, _, err := download(front); err == nil || n >= 4<<20 {
-				t.Errorf("got %d bytes, %v, want a visible cut", n, err)
+				t.Errorf("got %d bytes, %v, want a visible truncation", n, err)
 			}
 		})
 	}
 }
 
-// TestStalledDownload has a server go silent in the middle of a body: a download that
-// can be resumed goes on, any other is visibly cut. The deadline does not matter.
+// TestStalledDownload uses servers that go silent within a body. A download that
+// can be resumed must complete; any other must be visibly aborted. The response
+// deadline does not apply to bodies.
 func TestStalledDownload(t *testing.T) {
 	for _, etag := range []string{`"v1"`, ""} {
 		t.Run("etag "+etag, func(t *testing.T) {
-			j := newJudge(t, func(w http.ResponseWriter, r *http.Request) {
+			s := newCountingServer(t, func(w http.ResponseWriter, r *http.Request) {
 				w.Header()["Etag"] = []string{etag}
-				http.ServeContent(w, r, "video.mp4", time.Time{}, &video{size: 4 << 20})
+				http.ServeContent(w, r, "video.mp4", time.Time{}, &patternBody{size: 4 << 20})
 			})
-			stalls := func(n int) fault { return fault{down: 1 << 20 * int64(n), freeze: true} }
-			a, b := newLink(t, j.address(), stalls), newLink(t, j.address(), stalls)
+			stalls := func(n int) fault { return fault{downBytes: 1 << 20 * int64(n), freeze: true} }
+			a, b := newFaultProxy(t, s.address(), stalls), newFaultProxy(t, s.address(), stalls)
 			front, _ := newGateway(t, gateway.Config{Progress: 100 * time.Millisecond}, a.Addr().String(), b.Addr().String())
 			_, n, _, err := download(front)
-			if whole := err == nil && n == 4<<20; whole != (etag != "") || err == nil != whole {
+			if complete := err == nil && n == 4<<20; complete != (etag != "") || err == nil != complete {
 				t.Errorf("got %d bytes, %v", n, err)
 			}
 		})
 	}
 }
 
-// TestUploadStreams sends 64 MB through, in constant memory.
+// TestUploadStreams uploads 64 MiB, which the gateway must stream to the server
+// unchanged.
 func TestUploadStreams(t *testing.T) {
-	j := newJudge(t, func(w http.ResponseWriter, r *http.Request) {
+	s := newCountingServer(t, func(w http.ResponseWriter, r *http.Request) {
 		h := sha256.New()
 		n, _ := io.Copy(h, r.Body)
 		_, _ = fmt.Fprintf(w, "%d %x", n, h.Sum(nil))
 	})
-	front, _ := newGateway(t, gateway.Config{Deadline: 5 * time.Second}, j.address())
+	front, _ := newGateway(t, gateway.Config{Deadline: 5 * time.Second}, s.address())
 	const size = 64 << 20
 	want := sha256.New()
-	_, _ = io.Copy(want, &video{size: size})
-	resp, err := front.Client().Post(front.URL+"/scans", "application/octet-stream", &video{size: size})
+	_, _ = io.Copy(want, &patternBody{size: size})
+	resp, err := front.Client().Post(front.URL+"/scans", "application/octet-stream", &patternBody{size: size})
 	if err != nil {
 		t.Fatal(err)
 	}
