--- a/internal/request/admission/lane.go
+++ b/internal/request/admission/lane.go
@@ -21,25 +21,28 @@
 )
 
 const (
-	// extraBurst is the number of retries, and of hedges, that can be saved up.
-	extraBurst = 10
-	// answerGain is the weight of one answer in the mean of their sizes.
-	answerGain = 0.05
-	// slackShare is the part of the retry slack that running gateways plan to use.
-	slackShare = 0.6
-	// assumedGateways is the size of a fleet that is not known yet.
-	assumedGateways = 32
-	// unmeasuredHedge is the hedge delay while too few latencies are known.
-	unmeasuredHedge = 100 * time.Millisecond
+	// budgetBurst is the burst size of the retry budget and of the hedge budget.
+	budgetBurst = 10
+	// responseSizeWeight is the weight of a new sample in the moving average of response
+	// sizes.
+	responseSizeWeight = 0.05
+	// plannedSlackShare is the fraction of the fleet's retry slack that is divided among the
+	// known gateways.
+	plannedSlackShare = 0.6
+	// defaultFleetSize is the fleet size used until the real one is known.
+	defaultFleetSize = 32
+	// initialHedgeDelay is the hedge delay used until enough latencies are recorded.
+	initialHedgeDelay = 100 * time.Millisecond
 )
 
-// Lane is the state that the calls of one service share: the chooser, the queue
-// and the budgets. One mutex guards it all.
+// Lane is the admission controller of one service. It holds the load balancing
+// policy, the queue and the budgets that the calls of the service share, all guarded
+// by one mutex.
 type Lane struct {
 	lanes *Lanes
 	// Service is the name of the service.
 	Service string
-	// Metrics counts what becomes of its calls.
+	// Metrics holds the metrics of the service.
 	Metrics *Metrics
 
 	mu      sync.Mutex
@@ -49,38 +52,41 @@
 	latency booking.Latency
 	limits  *slot.Limits
 	queue   *slot.Queue
-	waiting map[uint64]waiter
+	waiting map[uint64]queuedCall
 	lastID  uint64
-	usable  int
-	// answerBytes is the moving mean of the size of answers.
-	answerBytes float64
-	// questions bounds what this gateway asks the servers of the service.
-	questions *survey.Questions
-	reusedAt  map[string]time.Time // when a reusable connection last came free
+	usable  int // number of servers that are not shutting down
+	// responseBytes is the moving average of response sizes.
+	responseBytes float64
+	// queryLimit limits the load queries that this gateway sends to the service.
+	queryLimit *survey.Questions
+	idleAt     map[string]time.Time // when a connection to the server last became idle
 }
 
-// waiter is a call that waits for a server.
-type waiter struct {
-	// tried are the servers that the call has tried already.
+// queuedCall is a call that waits in the queue.
+type queuedCall struct {
+	// tried lists the servers that the call has already tried.
 	tried []string
-	given chan mustardsaddle.Choice
+	// assigned receives the assigned server; it is closed if the call's wait expires.
+	assigned chan mustardsaddle.Choice
 }
 
-// Request is what a call says of itself to be admitted.
+// Request describes a call that asks for admission.
 type Request struct {
-	// Begin asks the call for one more attempt, and returns the servers that it has
-	// tried. The lane calls it with its own mutex held.
+	// Begin starts another attempt if the call and the budgets allow one. It returns
+	// the kind of the attempt and the servers that the call has already tried. The
+	// Lane calls it with its mutex held.
 	Begin func(now time.Time, b *booking.Budgets) (kind booking.Kind, tried []string, ok bool)
-	// Ticket returns what the call has to say in the queue.
+	// Ticket returns the call's queue entry under the given ID.
 	Ticket func(id uint64) slot.Ticket
 }
 
-// Placement is a chosen server, counted in until Finish.
+// Placement is the server assigned to an attempt. The attempt counts as in flight
+// until Finish.
 type Placement struct {
-	// Kind says which attempt of its call this is.
+	// Kind says whether the attempt is a first attempt, a retry or a hedge.
 	Kind   booking.Kind
 	Choice mustardsaddle.Choice
-	// Queued is how long the call waited for the server.
+	// Queued is the time that the call spent in the queue.
 	Queued time.Duration
 }
 
@@ -96,36 +102,37 @@
 			Retry: newBudget(cfg.RetryShare),
 			Hedge: newBudget(cfg.HedgeShare),
 		},
-		latency:   booking.Latency{Quantile: cfg.HedgeQuantile},
-		limits:    slot.NewLimits(),
-		queue:     slot.New(slot.Config{MaxWaiting: cfg.MaxWaiting, MinRetryAfter: cfg.MinRetryAfter}),
-		waiting:   make(map[uint64]waiter),
-		reusedAt:  make(map[string]time.Time),
-		questions: survey.NewQuestions(cfg.Ask),
+		latency:    booking.Latency{Quantile: cfg.HedgeQuantile},
+		limits:     slot.NewLimits(),
+		queue:      slot.New(slot.Config{MaxWaiting: cfg.MaxWaiting, MinRetryAfter: cfg.MinRetryAfter}),
+		waiting:    make(map[uint64]queuedCall),
+		idleAt:     make(map[string]time.Time),
+		queryLimit: survey.NewQuestions(cfg.Ask),
 	}
 	if cfg.RetryWindow > 0 {
 		l.budgets.Window = booking.NewWindow(cfg.RetryWindow)
 	}
-	l.setBounds()
+	l.updateRetryBounds()
 	return l
 }
 
-// setBounds takes the bounds of retries, and of the slack that all gateways share
-// this one's part. Some of it is left for gateways that start without a memory of
-// what they have sent.
-func (l *Lane) setBounds() {
-	gateways := cmp.Or(l.lanes.gateways.Load(), assumedGateways)
+// updateRetryBounds updates the retry bounds and divides the fleet's slack by the number
+// of gateways. Part of the slack is held back for gateways that start without a record
+// of the retries they have sent.
+func (l *Lane) updateRetryBounds() {
+	gateways := cmp.Or(l.lanes.gateways.Load(), defaultFleetSize)
 	bounds := *l.lanes.retry.Load()
-	bounds.Slack *= slackShare / float64(gateways)
+	bounds.Slack *= plannedSlackShare / float64(gateways)
 	l.budgets.Bounds = bounds
 }
 
-// newBudget returns a budget of a share of calls; a share below 0 grants none.
+// newBudget returns a budget for the given share of calls. A negative share grants
+// nothing.
 func newBudget(share float64) booking.Budget {
 	if share < 0 {
 		return booking.Budget{}
 	}
-	return booking.NewBudget(share, extraBurst)
+	return booking.NewBudget(share, budgetBurst)
 }
 
 func (l *Lane) setServers(now time.Time, servers []mustardsaddle.Server) {
@@ -133,23 +140,25 @@
 	defer l.mu.Unlock()
 	l.chooser.SetServers(now, servers)
 	l.usable = 0
-	reusedAt := make(map[string]time.Time, len(servers))
+	idleAt := make(map[string]time.Time, len(servers))
 	for _, s := range servers {
-		if at, ok := l.reusedAt[s.Name]; ok {
-			reusedAt[s.Name] = at
+		if at, ok := l.idleAt[s.Name]; ok {
+			idleAt[s.Name] = at
 		}
 		if !s.Leaving {
 			l.usable++
 		}
 	}
-	l.reusedAt = reusedAt
-	l.setQuestions(now)
-	l.serveWaiting(now)
+	l.idleAt = idleAt
+	l.updateQueryRate(now)
+	l.dispatchQueued(now)
 }
 
-// Place begins an attempt of the call and chooses its server. A first attempt and a
-// retry wait for one in the queue; a hedge takes another server now, or none. Blind
-// is true if no server could be asked.
+// Place starts an attempt of the call and chooses its server. A first attempt is queued
+// if other calls are queued or no server has capacity. A retry is queued only if no
+// server has capacity, and a hedge is refused then. If Begin permits no attempt, the
+// refusal has code.OK. Blind is true if the budgets allowed no load query before this
+// attempt.
 func (l *Lane) Place(ctx context.Context, now time.Time, r Request, blind bool) (Placement, *refusal.Refusal) {
 	l.mu.Lock()
 	kind, tried, ok := r.Begin(now, &l.budgets)
@@ -170,29 +179,29 @@
 	}
 	l.lastID++
 	id := l.lastID
-	verdict := l.queue.Join(now, r.Ticket(id))
-	if !verdict.Waits {
+	joined := l.queue.Join(now, r.Ticket(id))
+	if !joined.Waits {
 		l.mu.Unlock()
-		return Placement{}, &refusal.Refusal{Code: code.CallOverloaded, Outcome: mustardsaddle.NotRun, RetryAfter: verdict.RetryAfter}
+		return Placement{}, &refusal.Refusal{Code: code.CallOverloaded, Outcome: mustardsaddle.NotRun, RetryAfter: joined.RetryAfter}
 	}
-	given := make(chan mustardsaddle.Choice, 1)
-	l.waiting[id] = waiter{tried: tried, given: given}
+	assigned := make(chan mustardsaddle.Choice, 1)
+	l.waiting[id] = queuedCall{tried: tried, assigned: assigned}
 	l.mu.Unlock()
-	p, no := l.wait(ctx, now, id, verdict.Until, given)
+	p, refused := l.wait(ctx, now, id, joined.Until, assigned)
 	p.Kind = kind
-	return p, no
+	return p, refused
 }
 
-// wait returns when a server is given to the waiting call, or when its useful time
-// is over or its caller has gone.
-func (l *Lane) wait(ctx context.Context, since time.Time, id uint64, until time.Time, given chan mustardsaddle.Choice) (Placement, *refusal.Refusal) {
+// wait blocks until a server is assigned to the queued call, its wait expires or its
+// context is done.
+func (l *Lane) wait(ctx context.Context, since time.Time, id uint64, until time.Time, assigned chan mustardsaddle.Choice) (Placement, *refusal.Refusal) {
 	poll := time.NewTicker(slot.PollInterval)
 	defer poll.Stop()
-	over := time.NewTimer(time.Until(until))
-	defer over.Stop()
+	expiry := time.NewTimer(time.Until(until))
+	defer expiry.Stop()
 	for {
 		select {
-		case choice, ok := <-given:
+		case choice, ok := <-assigned:
 			if !ok {
 				return Placement{}, l.overloaded()
 			}
@@ -200,14 +209,15 @@
 		case <-poll.C:
 			l.poll(ctx, id)
 			continue
-		case <-over.C:
+		case <-expiry.C:
 		case <-ctx.Done():
 		}
 		if l.leave(id) {
 			return Placement{}, l.overloaded()
 		}
-		// Whoever took the call out of the queue has filled or closed the channel.
-		choice, ok := <-given
+		// The call was removed from the queue concurrently, so the channel holds a
+		// server or is closed.
+		choice, ok := <-assigned
 		if !ok {
 			return Placement{}, l.overloaded()
 		}
@@ -215,7 +225,7 @@
 	}
 }
 
-// poll asks the chooser again on behalf of the first waiting call.
+// poll queries server load and retries the queue if the call is at its head.
 func (l *Lane) poll(ctx context.Context, id uint64) {
 	l.mu.Lock()
 	first, ok := l.queue.First(time.Now())
@@ -227,10 +237,11 @@
 	l.Ask(ctx, tried)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.serveWaiting(time.Now())
+	l.dispatchQueued(time.Now())
 }
 
-// leave gives up waiting. It returns false if the wait was ended meanwhile.
+// leave removes the call from the queue. It returns false if the call has already
+// been removed.
 func (l *Lane) leave(id uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -241,17 +252,18 @@
 	return true
 }
 
-// overloaded returns the refusal of a call that waited as long as was useful.
+// overloaded returns the refusal of a call whose wait expired.
 func (l *Lane) overloaded() *refusal.Refusal {
 	return &refusal.Refusal{Code: code.CallOverloaded, Outcome: mustardsaddle.NotRun, RetryAfter: l.RetryAfter()}
 }
 
-// need describes an attempt that may go to any server but those that were tried.
+// need returns the requirements of an attempt that excludes the servers already tried.
 func (l *Lane) need(tried []string) mustardsaddle.Need {
-	return mustardsaddle.Need{Exclude: tried, Zone: l.lanes.cfg.Zone, Bytes: int(l.answerBytes)}
+	return mustardsaddle.Need{Exclude: tried, Zone: l.lanes.cfg.Zone, Bytes: int(l.responseBytes)}
 }
 
-// choose picks a server below its cap of connections, and counts the attempt in.
+// choose picks a server that is below its concurrency limit and counts the attempt
+// as in flight.
 func (l *Lane) choose(now time.Time, need mustardsaddle.Need) (mustardsaddle.Choice, bool) {
 	for {
 		choice, ok := l.chooser.Choose(now, l.rng, need)
@@ -263,9 +275,10 @@
 	}
 }
 
-// limit returns how many attempts this gateway may have open at a server: its
-// share of the connections, less those that may be idle. The rules may state the
-// connections of a service; a server of which nobody states them has no limit here.
+// limit returns the maximum number of attempts that this gateway may have in flight
+// to a server: its share of the server's connections less the idle ones that the
+// connection pool may keep. The connection count set in the rules for the service
+// takes precedence over the server's own. If neither is set, there is no limit.
 func (l *Lane) limit(s mustardsaddle.Server) int {
 	connections := s.Connections
 	if table := l.lanes.cfg.Rules(); table != nil {
@@ -277,11 +290,11 @@
 	return max(slot.Connections(connections, int(l.lanes.gateways.Load()))-connection.IdlePerHost, 1)
 }
 
-// serveWaiting gives servers to waiting calls, in order, while there are any. It
-// ends the wait of those that have no useful time left.
-func (l *Lane) serveWaiting(now time.Time) {
+// dispatchQueued expires queued calls whose wait is over, then assigns servers to the
+// remaining ones in order while servers have capacity. The caller holds mu.
+func (l *Lane) dispatchQueued(now time.Time) {
 	for _, id := range l.queue.Expired(now) {
-		close(l.waiting[id].given)
+		close(l.waiting[id].assigned)
 		delete(l.waiting, id)
 	}
 	for {
@@ -295,12 +308,12 @@
 			return
 		}
 		l.queue.Leave(id)
-		w.given <- choice
+		w.assigned <- choice
 		delete(l.waiting, id)
 	}
 }
 
-// Answered takes the time that a server needed to its response header.
+// Answered records the time from sending a request to receiving its response header.
 func (l *Lane) Answered(latency time.Duration) {
 	l.Metrics.Header.RecordDuration(latency)
 	l.mu.Lock()
@@ -308,51 +321,53 @@
 	l.latency.Add(latency)
 }
 
-// Relayed takes the size of an answer.
+// Relayed records the size of a response.
 func (l *Lane) Relayed(bytes int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.answerBytes += (float64(bytes) - l.answerBytes) * answerGain
+	l.responseBytes += (float64(bytes) - l.responseBytes) * responseSizeWeight
 }
 
-// Alive reports whether a connection to the server came free a moment ago.
+// Alive reports whether a connection to the server became idle within
+// connection.AliveWindow, and so is likely to be still open.
 func (l *Lane) Alive(now time.Time, server string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return now.Sub(l.reusedAt[server]) < connection.AliveWindow
+	return now.Sub(l.idleAt[server]) < connection.AliveWindow
 }
 
-// Finish tells how an attempt ended, and passes its place on. Kept is true if its
-// connection stays open for others.
+// Finish records the result of an attempt, releases its slot and assigns servers to
+// queued calls. Kept is true if the connection returned to the pool.
 func (l *Lane) Finish(now time.Time, result mustardsaddle.Result, kept bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if kept {
-		l.reusedAt[result.Server] = now
+		l.idleAt[result.Server] = now
 	}
 	l.chooser.Finish(now, result)
-	l.logVerdicts()
+	l.logEjections()
 	l.limits.Release(result.Server)
 	latency := result.Latency
 	if result.Outcome != mustardsaddle.Ran {
 		latency = 0
 	}
 	l.queue.Released(now, latency)
-	l.serveWaiting(now)
+	l.dispatchQueued(now)
 }
 
-// observe takes a load report, which may make a server usable again.
+// observe processes a load report, after which queued calls may find a server with
+// capacity.
 func (l *Lane) observe(now time.Time, server string, rep mustardsaddle.Report) {
 	l.mu.Lock()
 	l.chooser.Observe(now, server, rep)
-	l.serveWaiting(now)
+	l.dispatchQueued(now)
 	l.mu.Unlock()
 	if l.lanes.cfg.OnReport != nil {
 		l.lanes.cfg.OnReport(now, l.Service, server, rep)
 	}
 }
 
-// ObserveHeader takes the load report in an answer's header, if there is one.
+// ObserveHeader processes the load report in a response header, if there is one.
 func (l *Lane) ObserveHeader(now time.Time, server string, h http.Header) {
 	names := l.lanes.cfg.Headers
 	text := h.Get(names.Load)
@@ -367,40 +382,42 @@
 	l.observe(now, server, rep)
 }
 
-// HedgeDelay returns how long an attempt may be without an answer before it gets
-// a hedge, or false if a hedge would have no other server.
+// HedgeDelay returns how long to wait for a response before sending a hedge. It
+// returns false if hedging is disabled or no second server is available.
 func (l *Lane) HedgeDelay() (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delay, known := l.latency.Value()
 	if !known {
-		delay = unmeasuredHedge
+		delay = initialHedgeDelay
 	}
 	return max(delay, l.lanes.cfg.MinHedge), l.usable > 1 && l.lanes.cfg.HedgeShare > 0
 }
 
-// RetryAfter returns when a refused caller should come back.
+// RetryAfter returns the delay after which a refused caller should retry.
 func (l *Lane) RetryAfter() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.queue.RetryAfter()
 }
 
-// TakeRetry pays for an extra request that is not an attempt of a call.
+// TakeRetry takes one retry from the budget for a request that is not an attempt of
+// a call, and reports whether the budget allowed it.
 func (l *Lane) TakeRetry(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.budgets.TakeRetry(now)
 }
 
-// probe picks the server whose load is most worth asking for.
+// probe returns the server that the chooser wants probed next, if any.
 func (l *Lane) probe(now time.Time) (mustardsaddle.Server, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.chooser.Probe(now, l.rng)
 }
 
-// TakeOther picks a server other than the named one, or else that one.
+// TakeOther picks a server other than the named one, or the named one if no other
+// has capacity.
 func (l *Lane) TakeOther(now time.Time, server string) (mustardsaddle.Choice, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -410,9 +427,8 @@
 	return l.choose(now, l.need(nil))
 }
 
-// logVerdicts writes a line for each server that was taken out of the choice. The
-// caller holds mu.
-func (l *Lane) logVerdicts() {
+// logEjections logs each server that the chooser has ejected. The caller holds mu.
+func (l *Lane) logEjections() {
 	surveyor, ok := l.chooser.(mustardsaddle.Surveyor)
 	if !ok {
 		return
--- a/internal/request/admission/lanes.go
+++ b/internal/request/admission/lanes.go
@@ -1,9 +1,11 @@
-// Package admission decides when an attempt of a call may go, and to which server:
-// it asks servers for their load, chooses one, lets calls wait for one in order, and
-// refuses those that would wait in vain. Each service has a Lane of its own.
+// Package admission implements admission control and server selection. It queries
+// servers for their load, chooses a server for each attempt, queues calls while no
+// server has capacity, and refuses calls that could not be served in time. Each
+// service has its own Lane.
 //
-// The decisions are those of pure cores: choosers of area choice, package slot and
-// package booking. A Lane holds them under one mutex, and does the I/O around them.
+// The choosers under internal/choice and the packages slot and booking make the
+// decisions without performing I/O. A Lane guards them with one mutex and performs
+// the I/O.
 //
 // # Usage
 //
@@ -12,8 +14,8 @@
 //	lanes.SetServers(now, "Booking", servers)
 //	l := lanes.Lane("Booking")
 //	blind := l.Ask(ctx, nil)
-//	p, no := l.Place(ctx, now, request, blind)
-//	if no != nil {
+//	p, refused := l.Place(ctx, now, request, blind)
+//	if refused != nil {
 //		... // refuse the call
 //	}
 //	... // send the request to p.Choice.Server
@@ -40,34 +42,34 @@
 	Options
 	// Name is this gateway's name.
 	Name string
-	// MinRetryAfter is the shortest wait that a refused caller can be told.
+	// MinRetryAfter is the shortest Retry-After delay sent to a refused caller.
 	MinRetryAfter time.Duration
-	// Transport carries questions. Calls use the same connections, of which an
-	// answered question is a sign of life.
+	// Transport sends load queries. Calls share its connections, so a response to a
+	// load query shows that a pooled connection works.
 	Transport *http.Transport
-	// Headers names what servers say in headers.
+	// Headers names the response headers in which servers report their load and name.
 	Headers *mustardsaddle.Headers
-	// Rules returns the table in force, or nil.
+	// Rules returns the routing table in use, or nil.
 	Rules func() *rule.Table
-	// Metrics takes counters and histograms.
+	// Metrics is the scope of counters and histograms.
 	Metrics tally.Scope
-	// Logger takes the log events.
+	// Logger receives log events.
 	Logger zerolog.Logger
-	// Seed seeds the random choices.
+	// Seed seeds the random number generators.
 	Seed uint64
 }
 
-// Lanes are the lanes of all services. They are safe for concurrent use.
+// Lanes holds the Lane of each service. It is safe for concurrent use.
 type Lanes struct {
 	cfg Config
-	// gateways is the size of the fleet; 0 while it is not known.
+	// gateways is the fleet size, or 0 if unknown.
 	gateways atomic.Int64
-	// retry bounds the retries of the whole fleet.
+	// retry holds the retry bounds of the whole fleet.
 	retry atomic.Pointer[booking.Bounds]
 
 	mu    sync.RWMutex
 	lanes map[string]*Lane
-	// fleet are the live gateway VMs.
+	// fleet lists the gateway VMs that are not shutting down.
 	fleet []mustardsaddle.VM
 }
 
@@ -79,14 +81,14 @@
 	return s
 }
 
-// Lane returns the lane of a service, or nil if no server of it was ever known.
+// Lane returns the Lane of a service, or nil before the first SetServers for it.
 func (s *Lanes) Lane(service string) *Lane {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.lanes[service]
 }
 
-// all returns the lanes of all services.
+// all returns the Lane of every service.
 func (s *Lanes) all() []*Lane {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -97,7 +99,7 @@
 	return lanes
 }
 
-// SetServers replaces the known servers of a service.
+// SetServers replaces the server list of a service.
 func (s *Lanes) SetServers(now time.Time, service string, servers []mustardsaddle.Server) {
 	s.mu.Lock()
 	l := s.lanes[service]
@@ -114,10 +116,10 @@
 	l.setServers(now, servers)
 }
 
-// SetFleet tells which gateway VMs there are, this one included. All of them share
-// the connections of each server, since a leaving gateway keeps its connections
-// until its last call has finished; choosers divide the servers among those that
-// stay.
+// SetFleet sets the gateway VMs of the fleet, including this one. Every gateway counts
+// towards the sharing of server connections, because a gateway that is shutting down
+// keeps its connections until its last call has finished. Choosers that divide the
+// servers among gateways get only those that are not shutting down.
 func (s *Lanes) SetFleet(now time.Time, gateways []mustardsaddle.VM) {
 	s.gateways.Store(int64(len(gateways)))
 	live := slices.DeleteFunc(slices.Clone(gateways), func(v mustardsaddle.VM) bool { return v.Leaving })
@@ -126,23 +128,23 @@
 	s.fleet = live
 	s.mu.Unlock()
 	for _, l := range s.all() {
-		l.updateBounds(now)
+		l.updateLimits(now)
 		if !same {
 			l.setFleet(now, live)
 		}
 	}
 }
 
-// SetRetry changes the bounds of retries and hedges in a window: the share that a
-// call earns, and the slack of the whole fleet.
+// SetRetry changes the bounds of retries and hedges in a window: the share earned by
+// each call and the slack of the whole fleet.
 func (s *Lanes) SetRetry(now time.Time, bounds booking.Bounds) {
 	s.retry.Store(&bounds)
 	for _, l := range s.all() {
-		l.updateBounds(now)
+		l.updateLimits(now)
 	}
 }
 
-// setFleet passes the live gateways on to a chooser that divides servers.
+// setFleet passes the live gateways to a chooser that divides the servers among them.
 func (l *Lane) setFleet(now time.Time, live []mustardsaddle.VM) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -151,10 +153,11 @@
 	}
 }
 
-// updateBounds takes bounds, or a size of the fleet, that have changed.
-func (l *Lane) updateBounds(now time.Time) {
+// updateLimits recomputes the limits that depend on the retry bounds or the fleet
+// size.
+func (l *Lane) updateLimits(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.setBounds()
-	l.setQuestions(now)
+	l.updateRetryBounds()
+	l.updateQueryRate(now)
 }
--- a/internal/request/admission/metrics.go
+++ b/internal/request/admission/metrics.go
@@ -8,7 +8,7 @@
 	"mustardsaddle.example/mustardsaddle"
 )
 
-// firstBucket and buckets give latency histograms from 0.25 ms to 8 s.
+// firstBucket and buckets define exponential latency buckets from 0.25 ms to 8 s.
 const (
 	firstBucket = 250 * time.Microsecond
 	buckets     = 16
@@ -16,21 +16,22 @@
 
 // Metrics are the counters and histograms of one service.
 type Metrics struct {
-	// Outcomes counts the calls by outcome, and Attempts what was sent to servers.
+	// Outcomes counts calls by outcome, and Attempts counts requests sent to servers.
 	Outcomes [3]tally.Counter
 	Attempts tally.Counter
 	Retries  tally.Counter
 	Hedges   tally.Counter
-	// Silent counts attempts without an answer, Resumed downloads that went on at
-	// another server, and Cut answers that broke off.
+	// Silent counts attempts without a response, Resumed counts downloads resumed from
+	// another server, and Cut counts truncated responses.
 	Silent  tally.Counter
 	Resumed tally.Counter
 	Cut     tally.Counter
-	// BadReports counts load reports that could not be read.
+	// BadReports counts load reports that could not be parsed.
 	BadReports tally.Counter
-	Questions  tally.Counter
-	// Queued is how long calls waited for a server, and Header how long servers
-	// needed to their response header.
+	// Questions counts load queries sent before an attempt.
+	Questions tally.Counter
+	// Queued measures the time that calls spend in the queue, and Header the time to
+	// the response header.
 	Queued tally.Histogram
 	Header tally.Histogram
 }
--- a/internal/request/admission/options.go
+++ b/internal/request/admission/options.go
@@ -8,7 +8,7 @@
 	"mustardsaddle.example/mustardsaddle/internal/choice/bench"
 )
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	defaultMaxWaiting = 1024
 	defaultRetryShare = 0.2
@@ -19,53 +19,55 @@
 	defaultLoadPath   = "/load"
 )
 
-// Budget bounds the cost of measuring.
+// Budget limits the traffic spent on probes and load queries.
 type Budget interface {
-	// Take spends messages and bytes, or returns false and spends nothing.
+	// Take spends messages and bytes. If the budget is too low, it returns false and
+	// spends nothing.
 	Take(now time.Time, messages, bytes int) bool
 }
 
-// Options say when attempts may go, and where. Zero values of limits mean the
-// default.
+// Options configure admission and server selection. A zero limit means its default.
 type Options struct {
 	// Zone is this gateway's availability zone.
 	Zone string
-	// MaxWaiting bounds the calls of one service that wait for a server; below 0
-	// for none.
+	// MaxWaiting is the maximum queue length of a service. A negative value disables
+	// queueing.
 	MaxWaiting int
-	// RetryShare is the number of retries that one call earns; below 0 for none.
+	// RetryShare is the number of retries earned by each call. A negative value
+	// disables retries.
 	RetryShare float64
-	// RetryWindow is the time over which retries and hedges together are bounded
-	// by RetryShare of the calls and RetrySlack; 0 means that each call earns its
-	// share instead.
+	// RetryWindow is the length of the sliding window in which retries and hedges
+	// together are limited to RetryShare of the calls plus RetrySlack. If it is 0, a
+	// token bucket that each call fills by RetryShare limits retries instead.
 	RetryWindow time.Duration
-	// RetrySlack is how many retries and hedges all gateways together may send in
-	// a window beyond the share.
+	// RetrySlack is the number of retries and hedges beyond the share that the whole
+	// fleet may send in a window.
 	RetrySlack float64
-	// HedgeShare is the number of hedges that one call earns; below 0 for none.
+	// HedgeShare is the number of hedges earned by each call. A negative value
+	// disables hedging.
 	HedgeShare float64
-	// HedgeQuantile is the quantile of latencies after which a hedge is sent.
+	// HedgeQuantile is the latency quantile used as the hedge delay.
 	HedgeQuantile float64
-	// MinHedge is the shortest time after which a hedge is sent.
+	// MinHedge is the minimum hedge delay.
 	MinHedge time.Duration
-	// Ask is how many servers are asked for their load before a call is sent, if
-	// the chooser wants to know.
+	// Ask is the maximum number of servers queried for their load before an attempt,
+	// if the chooser is a Surveyor.
 	Ask int
-	// ProbePath is where servers tell their load if the rules do not say; empty
+	// ProbePath is the URL path of load reports for services whose rule sets none; empty
 	// means /load.
 	ProbePath string
-	// ServerPerSecond is how many questions one server may get each second from all
-	// gateways together.
+	// ServerPerSecond limits the load queries per second that one server receives from
+	// the whole fleet.
 	ServerPerSecond float64
-	// Budget pays for what servers are asked; nil means that nothing is asked.
+	// Budget limits load queries; nil disables them.
 	Budget Budget
-	// NewChooser returns the chooser of a service; nil means package bench.
+	// NewChooser returns the chooser of a service; nil means one of package bench.
 	NewChooser func(service string) mustardsaddle.Chooser
-	// OnReport, if set, is told each load report. It must not block.
+	// OnReport, if set, is called with each load report. It must not block.
 	OnReport func(now time.Time, service, server string, rep mustardsaddle.Report)
 }
 
-// withDefaults fills in the zero values.
+// withDefaults returns a copy of o with zero values replaced by defaults.
 func (o Options) withDefaults() Options {
 	o.MaxWaiting = cmp.Or(o.MaxWaiting, defaultMaxWaiting)
 	o.RetryShare = cmp.Or(o.RetryShare, defaultRetryShare)
--- a/internal/request/admission/prober.go
+++ b/internal/request/admission/prober.go
@@ -10,82 +10,85 @@
 )
 
 const (
-	// probeRequestBytes and probeAnswerBytes are what a probe is expected to send
-	// and to bring, TCP and IP headers included.
-	probeRequestBytes = 300
-	probeAnswerBytes  = 500
-	// maxOpenProbes bounds the probes without an answer.
-	maxOpenProbes = 64
-	// defaultProbeTimeout bounds one probe.
+	// probeRequestBytes and probeResponseBytes are the expected sizes of a probe's request
+	// and response, including TCP and IP headers.
+	probeRequestBytes  = 300
+	probeResponseBytes = 500
+	// maxProbesInFlight is the maximum number of probes in flight.
+	maxProbesInFlight = 64
+	// defaultProbeTimeout is the default timeout of a probe.
 	defaultProbeTimeout = 500 * time.Millisecond
-	// defaultProbeInterval is the time between two rounds of probes.
+	// defaultProbeInterval is the default time between rounds of probes.
 	defaultProbeInterval = 50 * time.Millisecond
 )
 
-// ProberConfig configures a Prober. Zero values of times mean the default.
+// ProberConfig configures a Prober. A zero duration means its default.
 type ProberConfig struct {
-	// Lanes hold the servers that are probed.
+	// Lanes holds the services whose servers are probed.
 	Lanes *Lanes
-	// Budget pays for each probe.
+	// Budget limits the probes.
 	Budget Budget
-	// Interval is the time between two rounds, each of one probe a service.
+	// Interval is the time between rounds. Each round sends at most one probe per
+	// service.
 	Interval time.Duration
-	// Timeout bounds one probe.
+	// Timeout is the timeout of a probe.
 	Timeout time.Duration
 }
 
-// Prober asks servers for load reports within a budget.
+// Prober periodically requests load reports from servers, within a budget.
 type Prober struct {
 	cfg ProberConfig
-	// paid is true while a probe is paid for that no server was worth yet.
-	paid bool
-	// open is the number of probes without an answer.
-	open int
+	// reserved is true if the budget for the next probe has been taken but no server has
+	// needed that probe yet.
+	reserved bool
+	// inFlight is the number of probes in flight.
+	inFlight int
 }
 
-// NewProber returns a prober that uses the connections of questions.
+// NewProber returns a Prober that shares the transport of load queries.
 func NewProber(cfg ProberConfig) *Prober {
 	cfg.Interval = cmp.Or(cfg.Interval, defaultProbeInterval)
 	cfg.Timeout = cmp.Or(cfg.Timeout, defaultProbeTimeout)
 	return &Prober{cfg: cfg}
 }
 
-// Run probes until the context ends, then closes done.
+// Run sends probes until the context is done, waits for those in flight and closes
+// done.
 func (p *Prober) Run(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
-	ended := make(chan struct{}, maxOpenProbes)
+	ended := make(chan struct{}, maxProbesInFlight)
 	ticker := time.NewTicker(p.cfg.Interval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			for ; p.open > 0; p.open-- {
+			for ; p.inFlight > 0; p.inFlight-- {
 				<-ended
 			}
 			return
 		case <-ended:
-			p.open--
+			p.inFlight--
 		case <-ticker.C:
-			p.round(ctx, ended)
+			p.startRound(ctx, ended)
 		}
 	}
 }
 
-// round begins one probe of each service, as far as the budget goes. It does not
-// wait for answers, so that a silent server holds up no other.
-func (p *Prober) round(ctx context.Context, ended chan<- struct{}) {
+// startRound starts one probe per service while the budget lasts. It does not wait for
+// responses, so an unresponsive server does not delay the probes of others.
+func (p *Prober) startRound(ctx context.Context, ended chan<- struct{}) {
 	for _, l := range p.cfg.Lanes.all() {
 		now := time.Now()
-		p.paid = p.paid || p.cfg.Budget.Take(now, 1, probeRequestBytes+probeAnswerBytes)
-		if !p.paid || p.open >= maxOpenProbes {
+		p.reserved = p.reserved || p.cfg.Budget.Take(now, 1, probeRequestBytes+probeResponseBytes)
+		if !p.reserved || p.inFlight >= maxProbesInFlight {
 			return
 		}
 		server, ok := l.probe(now)
 		if !ok {
 			continue
 		}
-		p.paid = false
-		p.open++
+		p.reserved = false
+		p.inFlight++
 		go func() {
 			p.probe(ctx, l, server)
 			ended <- struct{}{}
@@ -93,7 +96,7 @@
 	}
 }
 
-// probe asks one server.
+// probe requests a load report from one server.
 func (p *Prober) probe(ctx context.Context, l *Lane, server mustardsaddle.Server) {
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.Timeout)
 	defer cancel()
@@ -101,7 +104,7 @@
 	if err != nil {
 		return
 	}
-	h, err := answerHeader(p.cfg.Lanes.cfg.Transport, r)
+	h, err := fetchHeader(p.cfg.Lanes.cfg.Transport, r)
 	if err != nil {
 		return
 	}
--- a/internal/request/admission/question.go
+++ b/internal/request/admission/question.go
@@ -12,19 +12,19 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/connection"
 )
 
-// questionTimeout bounds one question; its connection is closed then.
-const questionTimeout = 150 * time.Millisecond
+// queryTimeout is the timeout of a load query, after which its connection is closed.
+const queryTimeout = 150 * time.Millisecond
 
-// setQuestions takes this gateway's part of the questions that the servers of the
-// service may get. The caller holds mu.
-func (l *Lane) setQuestions(now time.Time) {
-	gateways := cmp.Or(l.lanes.gateways.Load(), assumedGateways)
-	l.questions.SetRate(now, survey.Rate(l.lanes.cfg.ServerPerSecond, l.usable, int(gateways)))
+// updateQueryRate updates the rate limit of load queries to this gateway's share of what
+// the servers of the service may receive. The caller holds mu.
+func (l *Lane) updateQueryRate(now time.Time) {
+	gateways := cmp.Or(l.lanes.gateways.Load(), defaultFleetSize)
+	l.queryLimit.SetRate(now, survey.Rate(l.lanes.cfg.ServerPerSecond, l.usable, int(gateways)))
 }
 
-// Ask lets the chooser ask a few servers for their load, and waits for the answers
-// that come soon. It does nothing for a chooser that asks nobody. It returns true if
-// the budget permitted no question, so that older reports or a guess must do.
+// Ask queries a few servers for their load if the chooser is a Surveyor, and waits up
+// to survey.AnswerPatience for the responses. It returns true if the budgets allowed
+// no query, so that the choice has to rely on older reports or none.
 func (l *Lane) Ask(ctx context.Context, tried []string) (blind bool) {
 	surveyor, ok := l.chooser.(mustardsaddle.Surveyor)
 	if !ok || l.lanes.cfg.Budget == nil {
@@ -32,9 +32,9 @@
 	}
 	now := time.Now()
 	l.mu.Lock()
-	servers := surveyor.Ask(now, l.rng, l.need(tried), l.questions.Next(now))
+	servers := surveyor.Ask(now, l.rng, l.need(tried), l.queryLimit.Next(now))
 	for i := range servers {
-		if !l.questions.Take(now) || !l.lanes.cfg.Budget.Take(now, 1, probeRequestBytes+probeAnswerBytes) {
+		if !l.queryLimit.Take(now) || !l.lanes.cfg.Budget.Take(now, 1, probeRequestBytes+probeResponseBytes) {
 			surveyor.Unasked(servers[i:])
 			servers = servers[:i]
 			blind = i == 0
@@ -43,63 +43,65 @@
 	}
 	l.mu.Unlock()
 	if len(servers) > 0 {
-		l.question(ctx, servers)
+		l.queryServers(ctx, servers)
 	}
 	return blind
 }
 
-// question asks servers at the same time, and returns when all have answered or
-// the patience is over. Later answers count all the same.
-func (l *Lane) question(ctx context.Context, servers []mustardsaddle.Server) {
+// queryServers queries servers concurrently. It returns when all have responded or after
+// survey.AnswerPatience. Later responses are still processed.
+func (l *Lane) queryServers(ctx context.Context, servers []mustardsaddle.Server) {
 	l.Metrics.Questions.Inc(int64(len(servers)))
 	path := l.lanes.probePath(l.Service)
-	answered := make(chan struct{}, len(servers))
+	done := make(chan struct{}, len(servers))
 	for _, server := range servers {
 		go func() {
-			// The answer serves other calls too, so that the caller's end does not end it.
-			asking, cancel := context.WithTimeout(context.WithoutCancel(ctx), questionTimeout)
+			// Other calls use the response too, so canceling the call must not cancel
+			// the query.
+			queryCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), queryTimeout)
 			defer cancel()
-			l.questionOne(asking, server, path)
-			answered <- struct{}{}
+			l.queryServer(queryCtx, server, path)
+			done <- struct{}{}
 		}()
 	}
-	patience := time.NewTimer(survey.AnswerPatience)
-	defer patience.Stop()
+	timeout := time.NewTimer(survey.AnswerPatience)
+	defer timeout.Stop()
 	for range servers {
 		select {
-		case <-answered:
-		case <-patience.C:
+		case <-done:
+		case <-timeout.C:
 			return
 		}
 	}
 }
 
-// questionOne asks one server.
-func (l *Lane) questionOne(ctx context.Context, server mustardsaddle.Server, path string) {
-	h, reply := l.lanes.questionServer(ctx, server, path)
+// queryServer queries one server and processes its response.
+func (l *Lane) queryServer(ctx context.Context, server mustardsaddle.Server, path string) {
+	h, reply := l.lanes.sendQuery(ctx, server, path)
 	now := time.Now()
 	l.mu.Lock()
 	if surveyor, ok := l.chooser.(mustardsaddle.Surveyor); ok {
 		surveyor.Asked(now, server.Name, reply)
 	}
 	if reply == mustardsaddle.OwnReply {
-		l.reusedAt[server.Name] = now
+		l.idleAt[server.Name] = now
 	}
-	l.logVerdicts()
+	l.logEjections()
 	l.mu.Unlock()
 	if reply == mustardsaddle.OwnReply {
 		l.ObserveHeader(now, server.Name, h)
 	}
 }
 
-// questionServer sends a question, and returns the header of the answer.
-func (s *Lanes) questionServer(ctx context.Context, server mustardsaddle.Server, path string) (http.Header, mustardsaddle.Reply) {
+// sendQuery sends a load query and returns the response header. The reply is
+// OtherReply if the response names a different server.
+func (s *Lanes) sendQuery(ctx context.Context, server mustardsaddle.Server, path string) (http.Header, mustardsaddle.Reply) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+server.Address+path, http.NoBody)
 	if err != nil {
 		return nil, mustardsaddle.NoReply
 	}
 	r.Header["User-Agent"] = nil
-	h, err := answerHeader(s.cfg.Transport, r)
+	h, err := fetchHeader(s.cfg.Transport, r)
 	if err != nil {
 		return nil, mustardsaddle.NoReply
 	}
@@ -111,20 +113,20 @@
 	return h, mustardsaddle.OwnReply
 }
 
-// answerHeader sends a request for a server's load once, and returns the header of
-// the answer. A short body is read, so that the connection can be used again.
-func answerHeader(t *http.Transport, r *http.Request) (http.Header, error) {
+// fetchHeader sends a load request without retrying it, and returns the response
+// header. It reads a short body so that the connection can be reused.
+func fetchHeader(t *http.Transport, r *http.Request) (http.Header, error) {
 	connection.NeverResend(r)
 	resp, err := t.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
-	_, _ = io.CopyN(io.Discard, resp.Body, probeAnswerBytes)
+	_, _ = io.CopyN(io.Discard, resp.Body, probeResponseBytes)
 	_ = resp.Body.Close()
 	return resp.Header, nil
 }
 
-// probePath returns the path where the servers of a service tell their load.
+// probePath returns the URL path of load reports for a service.
 func (s *Lanes) probePath(service string) string {
 	if table := s.cfg.Rules(); table != nil {
 		if path := table.Service(service).Probe; path != "" {
