--- a/internal/request/admission/lane.go
+++ b/internal/request/admission/lane.go
@@ -267,7 +267,7 @@
 func (l *Lane) choose(now time.Time, need mustardsaddle.Need) (mustardsaddle.Choice, bool) {
 	for {
 		choice, ok := l.chooser.Choose(now, l.rng, need)
-		if !ok || l.limits.Admit(choice.Server.Name, l.limit(choice.Server)) {
+		if !ok || l.limits.Acquire(choice.Server.Name, l.limit(choice.Server)) {
 			return choice, ok
 		}
 		l.chooser.Finish(now, mustardsaddle.Result{Server: choice.Server.Name, Outcome: mustardsaddle.NotRun, Canceled: true})
--- a/internal/request/slot/limit.go
+++ b/internal/request/slot/limit.go
@@ -2,61 +2,62 @@
 
 import "time"
 
-// gatewayShare is the part of a server's connections, in percent, that gateways
-// plan to use; the rest is room for VMs that are being replaced.
-const gatewayShare = 80
+// plannedPercent is the percentage of a server's connections that gateways plan to use.
+// The rest is headroom for gateway VMs that are being replaced.
+const plannedPercent = 80
 
-// spareGateways is the part of the live gateways, in percent, by which their
-// number is taken to be too low, since the list of VMs lags.
-const spareGateways = 10
+// extraGatewaysPercent is the percentage added to the number of live gateways, because the
+// list of VMs lags behind and may miss some.
+const extraGatewaysPercent = 10
 
-// Connections returns how many connections one gateway may open to a server that
-// accepts the given number, among the given number of live gateways. It is at
-// least 1, so that a server is never out of reach.
+// Connections returns how many connections one of the given number of live gateways
+// may open to a server that accepts the given number of connections. The result is at
+// least 1, so that every gateway can reach every server.
 func Connections(accepted, gateways int) int {
 	gateways = max(gateways, 1)
-	expected := gateways + (gateways*spareGateways+99)/100
+	expected := gateways + (gateways*extraGatewaysPercent+99)/100
 	if gateways == 1 {
 		expected = 1
 	}
-	return max(accepted*gatewayShare/100/expected, 1)
+	return max(accepted*plannedPercent/100/expected, 1)
 }
 
-// Limits counts the attempts open at each server against a cap. It is not safe
-// for concurrent use.
+// Limits enforces per-server limits on the number of attempts in flight. It is not
+// safe for concurrent use.
 type Limits struct {
-	open map[string]int
+	inFlight map[string]int
 }
 
-// NewLimits returns limits without attempts.
+// NewLimits returns Limits with no attempts in flight.
 func NewLimits() *Limits {
-	return &Limits{open: make(map[string]int)}
+	return &Limits{inFlight: make(map[string]int)}
 }
 
-// Admit counts an attempt in, unless the server has reached its cap.
-func (l *Limits) Admit(server string, limit int) bool {
-	if l.open[server] >= limit {
+// Acquire counts an attempt as in flight. It returns false if the server has reached
+// its limit.
+func (l *Limits) Acquire(server string, limit int) bool {
+	if l.inFlight[server] >= limit {
 		return false
 	}
-	l.open[server]++
+	l.inFlight[server]++
 	return true
 }
 
-// Release counts an admitted attempt out.
+// Release marks an acquired attempt as finished.
 func (l *Limits) Release(server string) {
-	if l.open[server] <= 1 {
-		delete(l.open, server)
+	if l.inFlight[server] <= 1 {
+		delete(l.inFlight, server)
 		return
 	}
-	l.open[server]--
+	l.inFlight[server]--
 }
 
-// Open returns the number of attempts open at a server.
-func (l *Limits) Open(server string) int {
-	return l.open[server]
+// InFlight returns the number of attempts in flight to a server.
+func (l *Limits) InFlight(server string) int {
+	return l.inFlight[server]
 }
 
-// Seconds renders a wait for a Retry-After header, rounded up.
+// Seconds converts a delay to whole seconds for a Retry-After header, rounding up.
 func Seconds(d time.Duration) int {
 	return int((d + time.Second - 1) / time.Second)
 }
--- a/internal/request/slot/slot.go
+++ b/internal/request/slot/slot.go
@@ -1,21 +1,21 @@
-// Package slot decides which calls wait for a server, which are refused at once,
-// and how many attempts a server takes at a time. It performs no I/O; the present
-// time is an argument.
+// Package slot implements the request queue and the per-server concurrency limits. The
+// queue decides which calls wait for a server and which are refused immediately. The
+// package performs no I/O and takes the current time as an argument.
 //
 // # Usage
 //
 //	q := slot.New(slot.Config{MaxWaiting: 1024})
-//	verdict := q.Join(now, id, deadline)
-//	if !verdict.Waits { ... }  // answer now, with verdict.RetryAfter
+//	verdict := q.Join(now, slot.Ticket{ID: id, Deadline: deadline})
+//	if !verdict.Waits { ... }  // refuse the call with verdict.RetryAfter
 //	...
 //	q.Released(now, latency)   // an attempt ended
-//	id, ok := q.First(now)      // whose turn it is
+//	id, ok := q.First(now)     // the call to serve next
 //
 // # Invariants
 //
-// A call is refused when it joins, not later, if the measured backlog leaves it
-// no useful time before its deadline. A call that waits is returned by Expired at
-// the latest when its useful time is over.
+// A call is refused when it joins, not later, if the estimated queueing delay would
+// leave too little time before its deadline for an attempt. A call that is still queued
+// when the time left becomes too short is returned by Expired.
 package slot
 
 import (
@@ -25,72 +25,75 @@
 )
 
 const (
-	// PollInterval is how often the first waiting call asks again, since a chooser
-	// may admit a server by the passing of time alone.
+	// PollInterval is how often the call at the head of the queue retries the choice of
+	// a server, because a chooser may make a server available again after a timeout
+	// without any other event.
 	PollInterval = 20 * time.Millisecond
-	// PatienceShare is the part of its target, as one part in this many, for which a
-	// call waits for a server.
+	// PatienceShare limits the time that a call waits in the queue to 1/PatienceShare of
+	// its target latency.
 	PatienceShare = 8
 )
 
 const (
-	// defaultMinRetryAfter is the shortest wait that a refused caller is told.
+	// defaultMinRetryAfter is the default of Config.MinRetryAfter.
 	defaultMinRetryAfter = time.Second
-	// maxRetryAfter is the longest wait that a refused caller is told.
+	// maxRetryAfter is the longest Retry-After delay.
 	maxRetryAfter = 60 * time.Second
-	// smoothing is the weight of a new measurement, as one part in this many.
-	smoothing = 8
-	// usefulShare is the least part of a caller's time, as one part in this many,
-	// that is kept for the attempt itself.
-	usefulShare = 8
+	// ewmaDivisor is the divisor of the moving averages: a new sample has weight
+	// 1/ewmaDivisor.
+	ewmaDivisor = 8
+	// attemptShare reserves at least 1/attemptShare of the time to a call's deadline for
+	// the attempt itself.
+	attemptShare = 8
 )
 
 // Config configures a Queue.
 type Config struct {
-	// MaxWaiting bounds the calls that wait.
+	// MaxWaiting is the maximum number of queued calls.
 	MaxWaiting int
-	// MinRetryAfter is the shortest wait that a refused caller is told; 0 means 1 s.
+	// MinRetryAfter is the shortest Retry-After delay; 0 means 1 s.
 	MinRetryAfter time.Duration
 }
 
-// Ticket is a call that wants to wait. It is immutable.
+// Ticket describes a call that asks to be queued. It is immutable.
 type Ticket struct {
-	// ID names the call.
+	// ID identifies the call.
 	ID uint64
-	// Deadline is when its caller no longer waits.
+	// Deadline is the time at which the caller gives up.
 	Deadline time.Time
-	// Target is when an answer is worth less; zero if that is not known.
+	// Target is the time by which the call should be answered; zero if it has no target
+	// latency.
 	Target time.Time
-	// Priority is the rank of the call, of which 0 is the highest.
+	// Priority is the priority of the call; 0 is the highest.
 	Priority int
-	// Patience bounds the wait; 0 means that only the deadline does.
+	// Patience is the maximum time in the queue; 0 means that only the deadline limits it.
 	Patience time.Duration
 }
 
-// Verdict answers a call that wants to wait.
+// Verdict is the result of Join.
 type Verdict struct {
-	// Waits is true if the call waits; otherwise it is refused now.
+	// Waits is true if the call was queued, and false if it was refused.
 	Waits bool
-	// Until is when a call that waits has no useful time left.
+	// Until is the time at which a queued call expires.
 	Until time.Time
-	// RetryAfter tells a refused caller when the backlog will be gone.
+	// RetryAfter is the Retry-After delay of a refused call.
 	RetryAfter time.Duration
 }
 
 // Queue holds the calls of one service that wait for a server. Calls that can still
-// be answered by their target come first, those of higher priority before others,
-// and then each in order of arrival. It is not safe for concurrent use.
+// meet their target are served first, then calls of higher priority, then in order of
+// arrival. It is not safe for concurrent use.
 type Queue struct {
-	cfg      Config
-	waiting  []waiter
-	interval time.Duration
-	latency  time.Duration
-	released time.Time
+	cfg             Config
+	waiting         []queuedTicket
+	releaseInterval time.Duration // moving average of the time between releases
+	latency         time.Duration // moving average of the latency of attempts
+	lastRelease     time.Time     // last release since the queue was empty, if any
 }
 
-type waiter struct {
+type queuedTicket struct {
 	Ticket
-	until time.Time
+	until time.Time // when the call expires
 }
 
 // New returns an empty queue.
@@ -99,51 +102,53 @@
 	return &Queue{cfg: cfg}
 }
 
-// Join asks for a place. The call is refused if the measured pace of releases
-// would not serve it while its deadline leaves it the usual time of an attempt.
+// Join queues a call or refuses it. A call is refused if the queue is full, or if at
+// the measured release rate it would be served too late to complete an attempt of
+// average latency before its deadline.
 func (q *Queue) Join(now time.Time, t Ticket) Verdict {
-	until := t.Deadline.Add(-max(q.latency, t.Deadline.Sub(now)/usefulShare))
-	if patient := now.Add(t.Patience); t.Patience > 0 && patient.Before(until) {
-		until = patient
+	until := t.Deadline.Add(-max(q.latency, t.Deadline.Sub(now)/attemptShare))
+	if limit := now.Add(t.Patience); t.Patience > 0 && limit.Before(until) {
+		until = limit
 	}
-	turn := now.Add(q.interval * time.Duration(len(q.waiting)+1))
-	if len(q.waiting) >= q.cfg.MaxWaiting || !now.Before(until) || turn.After(until) {
+	servedAt := now.Add(q.releaseInterval * time.Duration(len(q.waiting)+1))
+	if len(q.waiting) >= q.cfg.MaxWaiting || !now.Before(until) || servedAt.After(until) {
 		return Verdict{RetryAfter: q.RetryAfter()}
 	}
-	q.waiting = append(q.waiting, waiter{Ticket: t, until: until})
+	q.waiting = append(q.waiting, queuedTicket{Ticket: t, until: until})
 	return Verdict{Waits: true, Until: until}
 }
 
-// First returns the call whose turn it is.
+// First returns the call to be served next, or false if the queue is empty.
 func (q *Queue) First(now time.Time) (uint64, bool) {
 	if len(q.waiting) == 0 {
 		return 0, false
 	}
 	first := q.waiting[0]
 	for _, w := range q.waiting[1:] {
-		if q.before(now, w.Ticket, first.Ticket) {
+		if q.precedes(now, w.Ticket, first.Ticket) {
 			first = w
 		}
 	}
 	return first.ID, true
 }
 
-// before reports whether a is served before b, which arrived earlier.
-func (q *Queue) before(now time.Time, a, b Ticket) bool {
-	if timely, other := q.timely(now, a), q.timely(now, b); timely != other {
+// precedes reports whether a is served before b, which arrived earlier.
+func (q *Queue) precedes(now time.Time, a, b Ticket) bool {
+	if timely, otherTimely := q.meetsTarget(now, a), q.meetsTarget(now, b); timely != otherTimely {
 		return timely
 	}
 	return a.Priority < b.Priority
 }
 
-// timely reports whether a call can be answered by its target if it is sent now.
-func (q *Queue) timely(now time.Time, t Ticket) bool {
+// meetsTarget reports whether a call sent now is expected to meet its target.
+func (q *Queue) meetsTarget(now time.Time, t Ticket) bool {
 	return t.Target.IsZero() || !now.Add(q.latency).After(t.Target)
 }
 
-// Leave removes a call that got a server, was canceled or gave up.
+// Leave removes a call that was assigned a server, was canceled or timed out. It
+// returns false if the call is not queued.
 func (q *Queue) Leave(id uint64) bool {
-	i := slices.IndexFunc(q.waiting, func(w waiter) bool { return w.ID == id })
+	i := slices.IndexFunc(q.waiting, func(w queuedTicket) bool { return w.ID == id })
 	if i < 0 {
 		return false
 	}
@@ -151,51 +156,53 @@
 	return true
 }
 
-// Expired removes and returns the calls that have no useful time left.
+// Expired removes and returns the calls whose time in the queue is over.
 func (q *Queue) Expired(now time.Time) []uint64 {
 	var ids []uint64
-	q.waiting = slices.DeleteFunc(q.waiting, func(w waiter) bool {
-		over := !now.Before(w.until)
-		if over {
+	q.waiting = slices.DeleteFunc(q.waiting, func(w queuedTicket) bool {
+		expired := !now.Before(w.until)
+		if expired {
 			ids = append(ids, w.ID)
 		}
-		return over
+		return expired
 	})
 	return ids
 }
 
-// Released tells that an attempt ended after latency. While calls wait, the time
-// between two releases measures how fast the backlog is served; the first release
-// after an idle time measures nothing.
+// Released records that an attempt ended with the given latency, or with an unknown
+// one if it is 0. While calls are queued, the time between two releases measures the
+// service rate. The first release after the queue was empty gives no sample.
 func (q *Queue) Released(now time.Time, latency time.Duration) {
 	if latency > 0 {
-		q.latency = smooth(q.latency, latency)
+		q.latency = ewma(q.latency, latency)
 	}
 	if len(q.waiting) == 0 {
-		q.released = time.Time{}
+		q.lastRelease = time.Time{}
 		return
 	}
-	if !q.released.IsZero() {
-		q.interval = smooth(q.interval, now.Sub(q.released))
+	if !q.lastRelease.IsZero() {
+		q.releaseInterval = ewma(q.releaseInterval, now.Sub(q.lastRelease))
 	}
-	q.released = now
+	q.lastRelease = now
 }
 
-// Len returns how many calls wait.
+// Len returns the number of queued calls.
 func (q *Queue) Len() int {
 	return len(q.waiting)
 }
 
-// RetryAfter returns how long the backlog takes at the measured pace.
+// RetryAfter returns the estimated time to drain the queue at the measured release
+// rate, within the bounds of Retry-After delays.
 func (q *Queue) RetryAfter() time.Duration {
-	backlog := q.interval * time.Duration(len(q.waiting)+1)
-	return min(max(backlog, q.cfg.MinRetryAfter), maxRetryAfter)
+	drainTime := q.releaseInterval * time.Duration(len(q.waiting)+1)
+	return min(max(drainTime, q.cfg.MinRetryAfter), maxRetryAfter)
 }
 
-// smooth moves old towards sample.
-func smooth(old, sample time.Duration) time.Duration {
+// ewma returns the exponentially weighted moving average after sample. A first sample
+// replaces the zero value.
+func ewma(old, sample time.Duration) time.Duration {
 	if old == 0 {
 		return sample
 	}
-	return old + (sample-old)/smoothing
+	return old + (sample-old)/ewmaDivisor
 }
