--- a/internal/request/booking/booking.go
+++ b/internal/request/booking/booking.go
@@ -1,21 +1,22 @@
-// Package booking decides how often one call is sent. A Call is a state machine
-// of the attempts of one request: it permits an attempt only while the promise of
-// at most once, the deadline and the budgets allow it, and it says what is known
-// about execution. It performs no I/O; the present time is an argument.
+// Package booking implements the retry and hedging policy. A Call is a state machine
+// that tracks the attempts of one request. It permits an attempt only if at-most-once
+// execution, the deadline, the attempt limit and the budgets allow it, and it derives
+// the outcome of the call from the outcomes of its attempts. The package performs no
+// I/O and takes the current time as an argument.
 //
 // # Usage
 //
 //	call := booking.New(booking.Config{Repeat: mustardsaddle.RepeatNo, Deadline: deadline, MaxAttempts: 3})
 //	kind, ok := call.Begin(now, &budgets)
 //	...                     // send the attempt
-//	call.End(outcome)       // classify it
-//	if call.Outcome() != mustardsaddle.Ran { ... } // retry through Begin, or refuse
+//	call.End(outcome)       // record its outcome
+//	if call.Outcome() != mustardsaddle.Ran { ... } // retry with Begin, or refuse
 //
 // # Invariants
 //
 // A request that is not idempotent has at most one attempt whose outcome is not
-// NotRun. Outcome is NotRun only if every attempt ended NotRun. No attempt begins
-// after one ended Ran.
+// NotRun. Outcome is NotRun only if every attempt ended as NotRun. No attempt begins
+// after one has ended as Ran.
 package booking
 
 import (
@@ -26,19 +27,19 @@
 
 //go:generate go tool -modfile=../../../tools/go.mod stringer -type=Kind -output=kind_string.go
 
-// maxConcurrent is the number of attempts of an idempotent call that may be
-// open at a time: the first and its hedge.
-const maxConcurrent = 2
+// maxInFlight is the maximum number of attempts of an idempotent call in flight at
+// the same time: one attempt and its hedge.
+const maxInFlight = 2
 
-// Kind says why an attempt is sent.
+// Kind is the reason for sending an attempt.
 type Kind int
 
 const (
 	// First is the first attempt of a call.
 	First Kind = iota
-	// Retry follows an attempt that ended.
+	// Retry is sent after all earlier attempts have ended.
 	Retry
-	// Hedge runs beside an attempt that has not ended.
+	// Hedge is sent while an earlier attempt is in flight.
 	Hedge
 )
 
@@ -46,20 +47,20 @@
 type Config struct {
 	// Repeat says whether the request may be sent more than once.
 	Repeat mustardsaddle.Repeat
-	// Deadline is when the caller no longer waits for a response header.
+	// Deadline is when the caller stops waiting for a response header.
 	Deadline time.Time
-	// MaxAttempts bounds the attempts of the call; 0 means one.
+	// MaxAttempts is the maximum number of attempts, hedges included; 0 means one.
 	MaxAttempts int
 }
 
-// Call is the state of one call. It is not safe for concurrent use.
+// Call tracks the attempts of one call. It is not safe for concurrent use.
 type Call struct {
-	cfg    Config
-	begun  int
-	open   int
-	notRun int
-	ran    bool
-	spent  bool
+	cfg       Config
+	begun     int
+	inFlight  int
+	notRun    int
+	ran       bool
+	bodySpent bool
 }
 
 // New returns a call without attempts.
@@ -67,21 +68,21 @@
 	return Call{cfg: cfg}
 }
 
-// Begin asks for one more attempt. When it returns true the attempt counts as
-// open, and the caller must End it.
+// Begin starts another attempt if the policy permits it. If it returns true, the
+// attempt counts as in flight until the caller calls End.
 func (c *Call) Begin(now time.Time, b *Budgets) (Kind, bool) {
 	kind := c.kind()
 	if !c.permitted(now) || !b.take(now, kind) {
 		return kind, false
 	}
 	c.begun++
-	c.open++
+	c.inFlight++
 	return kind, true
 }
 
-// End tells what became of an open attempt.
+// End records the outcome of an attempt in flight.
 func (c *Call) End(outcome mustardsaddle.Outcome) {
-	c.open--
+	c.inFlight--
 	switch outcome {
 	case mustardsaddle.NotRun:
 		c.notRun++
@@ -91,13 +92,14 @@
 	}
 }
 
-// SpendBody tells that bytes of the request's body are gone, so that no later
-// attempt could send the request whole.
+// SpendBody records that part of the request body has been consumed and is not
+// buffered, so that no later attempt can send the whole request.
 func (c *Call) SpendBody() {
-	c.spent = true
+	c.bodySpent = true
 }
 
-// Outcome returns what is known about the call if it is given up now.
+// Outcome returns what is known about the execution of the call, counting an attempt
+// in flight as unknown.
 func (c *Call) Outcome() mustardsaddle.Outcome {
 	switch {
 	case c.ran:
@@ -109,7 +111,7 @@
 	}
 }
 
-// Attempts returns how many attempts were begun.
+// Attempts returns the number of attempts begun.
 func (c *Call) Attempts() int {
 	return c.begun
 }
@@ -118,7 +120,7 @@
 	switch {
 	case c.begun == 0:
 		return First
-	case c.open > 0:
+	case c.inFlight > 0:
 		return Hedge
 	default:
 		return Retry
@@ -129,11 +131,11 @@
 	if c.ran || !now.Before(c.cfg.Deadline) || c.begun >= max(c.cfg.MaxAttempts, 1) {
 		return false
 	}
-	if c.spent && c.begun > 0 {
+	if c.bodySpent && c.begun > 0 {
 		return false
 	}
 	if c.cfg.Repeat == mustardsaddle.RepeatYes {
-		return c.open < maxConcurrent
+		return c.inFlight < maxInFlight
 	}
 	return c.Outcome() == mustardsaddle.NotRun
 }
--- a/internal/request/booking/booking_test.go
+++ b/internal/request/booking/booking_test.go
@@ -13,10 +13,10 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// model is what a judge outside the call counts.
+// model counts the attempts of a call independently of its implementation.
 type model struct {
-	begun, open, maybeRun, notRun int
-	ran                           bool
+	begun, inFlight, maybeRun, notRun int
+	ran                               bool
 }
 
 func TestCallKeepsItsInvariants(t *testing.T) {
@@ -30,17 +30,17 @@
 		var m model
 		for range rapid.IntRange(1, 30).Draw(t, "Steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "Millis")) * time.Millisecond)
-			step(t, &call, &budgets, now, deadline, &m)
-			check(t, &call, repeat, limit, m)
+			runStep(t, &call, &budgets, now, deadline, &m)
+			checkInvariants(t, &call, repeat, limit, m)
 		}
 	})
 }
 
-func step(t *rapid.T, call *booking.Call, b *booking.Budgets, now, deadline time.Time, m *model) {
-	if m.open > 0 && rapid.Bool().Draw(t, "End") {
+func runStep(t *rapid.T, call *booking.Call, b *booking.Budgets, now, deadline time.Time, m *model) {
+	if m.inFlight > 0 && rapid.Bool().Draw(t, "End") {
 		outcome := rapid.SampledFrom([]mustardsaddle.Outcome{mustardsaddle.Unknown, mustardsaddle.NotRun, mustardsaddle.Ran}).Draw(t, "Outcome")
 		call.End(outcome)
-		m.open--
+		m.inFlight--
 		if outcome == mustardsaddle.NotRun {
 			m.maybeRun--
 			m.notRun++
@@ -53,24 +53,24 @@
 	}
 	_, ok := call.Begin(now, b)
 	if ok && (m.ran || !now.Before(deadline)) {
-		t.Fatalf("attempt begun at %v: got ran %v, deadline %v, want neither passed", now, m.ran, deadline)
+		t.Fatalf("attempt begun at %v: got ran %v and deadline %v, want no attempt after a run or the deadline", now, m.ran, deadline)
 	}
 	if ok {
 		m.begun++
-		m.open++
+		m.inFlight++
 		m.maybeRun++
 	}
 }
 
-func check(t *rapid.T, call *booking.Call, repeat mustardsaddle.Repeat, limit int, m model) {
+func checkInvariants(t *rapid.T, call *booking.Call, repeat mustardsaddle.Repeat, limit int, m model) {
 	if repeat != mustardsaddle.RepeatYes && m.maybeRun > 1 {
 		t.Fatalf("got %d attempts that may have run, want at most 1", m.maybeRun)
 	}
-	if m.begun > max(limit, 1) || m.open > 2 {
-		t.Fatalf("got %d attempts, %d open, want at most %d and 2", m.begun, m.open, max(limit, 1))
+	if m.begun > max(limit, 1) || m.inFlight > 2 {
+		t.Fatalf("got %d attempts, %d in flight, want at most %d and 2", m.begun, m.inFlight, max(limit, 1))
 	}
 	if call.Outcome() == mustardsaddle.NotRun && m.notRun != m.begun {
-		t.Fatalf("got NotRun with %d of %d attempts not run", m.notRun, m.begun)
+		t.Fatalf("got outcome NotRun with %d of %d attempts not run", m.notRun, m.begun)
 	}
 }
 
@@ -108,7 +108,7 @@
 		for i := range 256 {
 			l.Add(time.Duration(i%100+1) * time.Millisecond)
 		}
-		convey.Convey("The estimate is near the quantile", func() {
+		convey.Convey("The estimate is close to the quantile", func() {
 			d, known := l.Value()
 			convey.So(known, convey.ShouldBeTrue)
 			convey.So(d, convey.ShouldBeBetween, 90*time.Millisecond, 100*time.Millisecond)
--- a/internal/request/booking/budget.go
+++ b/internal/request/booking/budget.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Budget bounds extra attempts to a share of calls: each call earns Share, each
-// extra attempt costs one. Over n calls at most Burst + Share × n extra attempts
-// are granted, so that trouble is not amplified. A Budget is not safe for
-// concurrent use.
+// Budget is a token bucket that limits extra attempts to a share of the calls. Each
+// call adds Share tokens and each extra attempt takes one. Over n calls at most
+// Burst + Share × n extra attempts are granted, so that retries do not amplify an
+// overload. A Budget is not safe for concurrent use.
 type Budget struct {
-	// Share is the number of extra attempts that one call earns.
+	// Share is the number of tokens added by each call.
 	Share float64
-	// Burst is the number of extra attempts that can be saved up.
+	// Burst is the maximum number of tokens.
 	Burst float64
 
 	earned float64
 	spent  float64
 }
 
-// NewBudget returns a budget that starts with its burst saved up.
+// NewBudget returns a full Budget.
 func NewBudget(share, burst float64) Budget {
 	return Budget{Share: share, Burst: burst, earned: burst}
 }
 
-// earn adds one call's share. What exceeds the burst is lost.
+// earn adds the share of one call, up to the burst.
 func (b *Budget) earn() {
 	b.earned = min(b.earned+b.Share, b.spent+b.Burst)
 }
 
-// Take spends one extra attempt, or returns false.
+// Take takes a token for one extra attempt. It returns false if there is none.
 func (b *Budget) Take() bool {
 	if b.earned-b.spent < 1 {
 		return false
@@ -35,20 +35,21 @@
 	return true
 }
 
-// Budgets are the budgets that the calls of one service share.
+// Budgets holds the retry and hedge budgets that the calls of one service share.
 type Budgets struct {
-	// Retry pays for attempts after one that ended.
+	// Retry limits retries.
 	Retry Budget
-	// Hedge pays for attempts beside one that has not ended.
+	// Hedge limits hedges.
 	Hedge Budget
-	// Window, if set, pays for retries in place of Retry, and for hedges besides
-	// Hedge, so that the extra attempts of any stretch of time are bounded.
+	// Window, if set, replaces Retry as the limit on retries, and limits hedges in
+	// addition to Hedge. It bounds the extra attempts in any period of its length.
 	Window *Window
-	// Bounds are what the Window allows.
+	// Bounds are the limits that Window enforces.
 	Bounds Bounds
 }
 
-// take pays for an attempt; a first attempt is free and earns both shares.
+// take takes an attempt of the given kind from the budgets and reports whether they
+// allow it. A first attempt is always allowed and replenishes the budgets.
 func (b *Budgets) take(now time.Time, kind Kind) bool {
 	switch kind {
 	case Retry:
@@ -65,7 +66,7 @@
 	return true
 }
 
-// TakeRetry pays for an attempt after one that ended.
+// TakeRetry takes a retry from the budgets and reports whether they allow it.
 func (b *Budgets) TakeRetry(now time.Time) bool {
 	if b.Window != nil {
 		return b.Window.Take(now, b.Bounds)
--- a/internal/request/booking/latency.go
+++ b/internal/request/booking/latency.go
@@ -6,37 +6,38 @@
 )
 
 const (
-	// latencyWindow is the number of latest latencies that are kept.
+	// latencyWindow is the number of most recent samples kept.
 	latencyWindow = 256
-	// latencyRefresh is the number of additions between two sorts.
+	// latencyRefresh is the number of samples between updates of the estimate, and the
+	// number required for the first one.
 	latencyRefresh = 32
 )
 
-// Latency estimates a quantile of the latest latencies of a service. Its zero
-// value is ready to use with Quantile set. It is not safe for concurrent use.
+// Latency estimates a latency quantile of a service from its most recent samples. The
+// zero value is ready to use once Quantile is set. It is not safe for concurrent use.
 type Latency struct {
-	// Quantile is the wanted quantile, above 0 and below 1.
+	// Quantile is the quantile to estimate, above 0 and below 1.
 	Quantile float64
 
-	window [latencyWindow]time.Duration
-	n      int
-	value  time.Duration
+	samples [latencyWindow]time.Duration
+	n       int
+	value   time.Duration
 }
 
-// Add takes the latency of one attempt.
+// Add records the latency of one attempt.
 func (l *Latency) Add(d time.Duration) {
-	l.window[l.n%latencyWindow] = d
+	l.samples[l.n%latencyWindow] = d
 	l.n++
 	if l.n%latencyRefresh != 0 {
 		return
 	}
-	sorted := l.window
-	known := sorted[:min(l.n, latencyWindow)]
-	slices.Sort(known)
-	l.value = known[int(l.Quantile*float64(len(known)))]
+	sorted := l.samples
+	valid := sorted[:min(l.n, latencyWindow)]
+	slices.Sort(valid)
+	l.value = valid[int(l.Quantile*float64(len(valid)))]
 }
 
-// Value returns the quantile, or false while too few latencies are known.
+// Value returns the estimated quantile, or false if there are too few samples.
 func (l *Latency) Value() (time.Duration, bool) {
 	return l.value, l.n >= latencyRefresh
 }
--- a/internal/request/booking/window.go
+++ b/internal/request/booking/window.go
@@ -2,57 +2,57 @@
 
 import "time"
 
-// windowParts is how many parts a window is counted in.
-const windowParts = 50
+// windowIntervals is the number of intervals into which a window is divided for counting.
+const windowIntervals = 50
 
-// Bounds are the extra attempts that a Window allows.
+// Bounds limit the extra attempts in a Window.
 type Bounds struct {
-	// Share is the number of extra attempts that one call earns.
+	// Share is the number of extra attempts allowed per call.
 	Share float64
-	// Slack is the number of extra attempts beyond the share.
+	// Slack is the number of extra attempts allowed beyond the share.
 	Slack float64
 }
 
-// Window bounds extra attempts in every sliding window of time: at most Share × the
-// calls of the window + Slack. The window that is counted is up to one part
-// longer for extra attempts than for calls, so that the bound holds wherever a
-// window begins. A Window is not safe for concurrent use.
+// Window limits the extra attempts in every sliding window of time to Share × the calls
+// in the window + Slack. Extra attempts are counted over one interval more than calls,
+// so that the limit holds for every window, including those that begin within an
+// interval. A Window is not safe for concurrent use.
 type Window struct {
 	span time.Duration
-	// start is the time of the first count, so that a step of the clock of day
-	// cannot empty the window.
-	start time.Time
-	parts [windowParts + 1]windowPart
+	// start is the time of the first event. Intervals are numbered by the time elapsed
+	// since then, so that a step of the wall clock cannot empty the window.
+	start     time.Time
+	intervals [windowIntervals + 1]windowInterval
 }
 
-// windowPart counts one part of the time.
-type windowPart struct {
+// windowInterval holds the counts of one interval.
+type windowInterval struct {
 	number int64
 	calls  int
 	extra  int
 }
 
-// NewWindow returns a Window of the given length without calls.
+// NewWindow returns an empty Window of the given length.
 func NewWindow(span time.Duration) *Window {
 	return &Window{span: span}
 }
 
-// Call counts a call.
+// Call records a call.
 func (w *Window) Call(now time.Time) {
-	w.at(now).calls++
+	w.intervalAt(now).calls++
 }
 
-// Take spends one extra attempt, or returns false.
+// Take records an extra attempt if the bounds allow it, and returns false otherwise.
 func (w *Window) Take(now time.Time, b Bounds) bool {
-	current := w.at(now)
+	current := w.intervalAt(now)
 	calls, extra := 0, 0
-	for _, p := range w.parts {
+	for _, p := range w.intervals {
 		age := current.number - p.number
-		if age > windowParts {
+		if age > windowIntervals {
 			continue
 		}
 		extra += p.extra
-		if age < windowParts {
+		if age < windowIntervals {
 			calls += p.calls
 		}
 	}
@@ -63,15 +63,15 @@
 	return true
 }
 
-// at returns the part that counts at the given time.
-func (w *Window) at(now time.Time) *windowPart {
+// intervalAt returns the interval that contains the given time, cleared if it is new.
+func (w *Window) intervalAt(now time.Time) *windowInterval {
 	if w.start.IsZero() {
 		w.start = now
 	}
-	number := int64(max(now.Sub(w.start), 0) / max(w.span/windowParts, 1))
-	p := &w.parts[number%int64(len(w.parts))]
+	number := int64(max(now.Sub(w.start), 0) / max(w.span/windowIntervals, 1))
+	p := &w.intervals[number%int64(len(w.intervals))]
 	if p.number != number {
-		*p = windowPart{number: number}
+		*p = windowInterval{number: number}
 	}
 	return p
 }
--- a/internal/request/booking/window_test.go
+++ b/internal/request/booking/window_test.go
@@ -9,8 +9,9 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/booking"
 )
 
-// TestWindowHoldsWhereverItBegins answers the pattern of retries that come in bursts,
-// with a clock of day that a property cannot rely on.
+// TestWindowHoldsWhereverItBegins checks the bound over every sliding window for random
+// sequences of calls and extra attempts, bursts included. It generates the times, because
+// a property test cannot rely on the wall clock.
 func TestWindowHoldsWhereverItBegins(t *testing.T) {
 	const span = time.Second
 	rapid.Check(t, func(t *rapid.T) {
@@ -28,17 +29,17 @@
 				calls = append(calls, now)
 			} else if w.Take(now, bounds) {
 				extra = append(extra, now)
-				// A window is fullest if it ends with an extra attempt.
-				n, m := within(extra, now, span), within(calls, now, span)
-				if float64(n) > bounds.Share*float64(m)+bounds.Slack {
-					t.Fatalf("got %d extra attempts in a window of %d calls, want at most %+v", n, m, bounds)
+				// The bound is tightest for a window that ends with an extra attempt.
+				extraCount, callCount := countWithin(extra, now, span), countWithin(calls, now, span)
+				if float64(extraCount) > bounds.Share*float64(callCount)+bounds.Slack {
+					t.Fatalf("got %d extra attempts in a window of %d calls, want at most %+v", extraCount, callCount, bounds)
 				}
 			}
 		}
 	})
 }
 
-func within(times []time.Time, end time.Time, span time.Duration) int {
+func countWithin(times []time.Time, end time.Time, span time.Duration) int {
 	n := 0
 	for _, at := range times {
 		if end.Sub(at) < span {
