--- a/internal/request/claim/claim.go
+++ b/internal/request/claim/claim.go
@@ -1,19 +1,19 @@
-// Package claim keeps claims in the platform's store: the rule Repeat=Claim lets a
-// request run at most once even when its caller sends it again through another
-// gateway.
+// Package claim implements at-most-once execution of requests by idempotency key, using
+// claims in the platform's object store. With the rule Repeat=Claim, a request runs at
+// most once even if its caller retries it through another gateway.
 //
-// A claim is one object, created on the condition that none exists. Only the call
-// whose id the object holds may send the request, so neither time limits nor the
-// order of answers matter. When the answer of the write is lost, the object is read
-// back; when that fails too, the request is not sent.
+// A claim is a single object that is created on the condition that it does not exist.
+// Only the call whose ID the object holds may send the request, so correctness depends
+// neither on timeouts nor on the order of responses. If the response to the write is
+// lost, the object is read back. If that fails too, the request is not sent.
 //
 // # Usage
 //
 //	claims := claim.New(claim.Config{Store: store})
 //	c, ok, err := claims.Take(ctx, "Booking", idempotencyKey, callID)
-//	if err != nil { ... }  // not sent: the store gave no clear word
-//	if !ok { ... }         // not sent: c says what is recorded
-//	...                    // send
+//	if err != nil { ... }  // do not send: the state of the claim is unknown
+//	if !ok { ... }         // do not send: another call holds the claim c
+//	...                    // send the request
 //	err = claims.Settle(ctx, c.WithOutcome(mustardsaddle.Ran, 201))
 package claim
 
@@ -30,13 +30,13 @@
 )
 
 const (
-	// keyPrefix begins the keys of claims in the store.
+	// keyPrefix is the prefix of claim keys in the store.
 	keyPrefix = "Claims/"
-	// format is the newest format of a claim that this version reads.
+	// format is the version of the claim encoding, the only one that is read.
 	format = 1
 )
 
-// record is a claim as it is stored.
+// record is the stored encoding of a claim.
 type record struct {
 	Format  int
 	Holder  string
@@ -46,11 +46,11 @@
 
 // Config configures a Keeper.
 type Config struct {
-	// Store is the platform's store.
+	// Store is the platform's object store.
 	Store mustardsaddle.Store
 }
 
-// Keeper keeps claims in the platform's store. It is safe for concurrent use.
+// Keeper manages claims in the platform's object store. It is safe for concurrent use.
 type Keeper struct {
 	cfg Config
 }
@@ -62,40 +62,42 @@
 	return &Keeper{cfg: cfg}
 }
 
-// Take claims the request, taking over a claim that was settled as NotRun.
+// Take acquires the claim of a request for holder. It takes over a claim whose recorded
+// outcome is NotRun. It returns true if holder owns the claim, and otherwise false with
+// the stored claim or an error.
 func (k *Keeper) Take(ctx context.Context, service, key, holder string) (mustardsaddle.Claim, bool, error) {
 	c := mustardsaddle.Claim{Key: Key(service, key), Holder: holder}
-	taken, err := k.put(ctx, c)
+	claimed, err := k.put(ctx, c)
 	if err == nil {
-		return taken, true, nil
+		return claimed, true, nil
 	}
-	known, err := k.get(ctx, c.Key)
+	stored, err := k.get(ctx, c.Key)
 	if err != nil {
 		return c, false, err
 	}
-	if known.Version > 0 && known.Outcome == mustardsaddle.NotRun && known.Holder != holder {
-		c.Version = known.Version
-		if taken, err = k.put(ctx, c); err == nil {
-			return taken, true, nil
+	if stored.Version > 0 && stored.Outcome == mustardsaddle.NotRun && stored.Holder != holder {
+		c.Version = stored.Version
+		if claimed, err = k.put(ctx, c); err == nil {
+			return claimed, true, nil
 		}
-		if known, err = k.get(ctx, c.Key); err != nil {
+		if stored, err = k.get(ctx, c.Key); err != nil {
 			return c, false, err
 		}
 	}
-	if known.Version == 0 {
-		return c, false, code.Errorf(code.StoreUnavailable, "take claim %s: write got no answer and left no record", c.Key)
+	if stored.Version == 0 {
+		return c, false, code.Errorf(code.StoreUnavailable, "take claim %s: write failed and the object does not exist", c.Key)
 	}
-	return known, known.Holder == holder, nil
+	return stored, stored.Holder == holder, nil
 }
 
-// Settle records what became of the request, unless another call has taken the
-// claim meanwhile.
+// Settle records the outcome of the request. It fails if another call has taken over
+// the claim in the meantime.
 func (k *Keeper) Settle(ctx context.Context, c mustardsaddle.Claim) error {
 	_, err := k.put(ctx, c)
 	return err
 }
 
-// put writes a claim over the version that it names.
+// put writes a claim on the condition that its version is the stored one.
 func (k *Keeper) put(ctx context.Context, c mustardsaddle.Claim) (mustardsaddle.Claim, error) {
 	value, err := cbor.Marshal(record{Format: format, Holder: c.Holder, Outcome: int(c.Outcome), Status: c.Status})
 	if err != nil {
@@ -105,7 +107,7 @@
 	return c, err
 }
 
-// get reads a claim; one that does not exist has version 0.
+// get reads a claim. A claim that does not exist has version 0.
 func (k *Keeper) get(ctx context.Context, key string) (mustardsaddle.Claim, error) {
 	o, err := k.cfg.Store.Get(ctx, key)
 	if err != nil || o.Version == 0 {
@@ -117,18 +119,18 @@
 	}
 	outcome := mustardsaddle.Outcome(r.Outcome)
 	if r.Format != format || r.Holder == "" || outcome < mustardsaddle.Unknown || outcome > mustardsaddle.Ran {
-		return mustardsaddle.Claim{Key: key}, code.Errorf(code.StoreBadObject, "decode claim %s: got format %d, want %d with holder and outcome", key, r.Format, format)
+		return mustardsaddle.Claim{Key: key}, code.Errorf(code.StoreBadObject, "decode claim %s: got format %d, want format %d with a holder and a valid outcome", key, r.Format, format)
 	}
 	return mustardsaddle.Claim{Key: key, Version: o.Version, Holder: r.Holder, Outcome: outcome, Status: r.Status}, nil
 }
 
-// Key returns the store's key of a claim: the digest of service and
-// Idempotency-Key, with the service's length first so that no two pairs run into
-// each other.
+// Key returns the store key of a claim: a digest of the service and the
+// Idempotency-Key. The digest input begins with the length of the service name, so that
+// different pairs never have the same input.
 func Key(service, idempotencyKey string) string {
-	text := binary.BigEndian.AppendUint32(nil, uint32(len(service)))
-	text = append(text, service...)
-	text = append(text, idempotencyKey...)
-	sum := sha256.Sum256(text)
+	input := binary.BigEndian.AppendUint32(nil, uint32(len(service)))
+	input = append(input, service...)
+	input = append(input, idempotencyKey...)
+	sum := sha256.Sum256(input)
 	return keyPrefix + hex.EncodeToString(sum[:])
 }
--- a/internal/request/claim/claim_test.go
+++ b/internal/request/claim/claim_test.go
@@ -13,17 +13,17 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/claim"
 )
 
-// fault says how the store treats one call.
+// fault is a fault that the store injects into one call.
 type fault int
 
 const (
-	none    fault = iota
-	refused       // no effect, error
-	lost          // effect, error
-	late          // error, and the effect comes with the next call
+	none     fault = iota
+	rejected       // fails without taking effect
+	lost           // takes effect, but the response is lost
+	delayed        // a write fails but takes effect before a later write; a read succeeds
 )
 
-// store is a platform store with faults.
+// store is an object store with injected faults.
 type store struct {
 	mustardsaddle.Store
 	objects map[string]mustardsaddle.Object
@@ -31,7 +31,7 @@
 	pending []func()
 }
 
-func (s *store) settle() {
+func (s *store) applyPending() {
 	for _, f := range s.pending {
 		f()
 	}
@@ -39,8 +39,8 @@
 }
 
 func (s *store) Get(_ context.Context, key string) (mustardsaddle.Object, error) {
-	if f := s.next(); f != none && f != late {
-		return mustardsaddle.Object{}, code.Errorf(code.StoreUnavailable, "get %s: down", key)
+	if f := s.next(); f != none && f != delayed {
+		return mustardsaddle.Object{}, code.Errorf(code.StoreUnavailable, "get %s: unavailable", key)
 	}
 	return s.objects[key], nil
 }
@@ -54,29 +54,30 @@
 		s.objects[key] = mustardsaddle.Object{Key: key, Version: version + 1, Value: value}
 		return version + 1, nil
 	}
-	if f != late {
-		s.settle()
+	if f != delayed {
+		s.applyPending()
 	}
-	down := code.Errorf(code.StoreUnavailable, "put %s: down", key)
+	unavailable := code.Errorf(code.StoreUnavailable, "put %s: unavailable", key)
 	switch f {
-	case refused:
-		return 0, down
+	case rejected:
+		return 0, unavailable
 	case lost:
 		_, _ = write()
-		return 0, down
-	case late:
+		return 0, unavailable
+	case delayed:
 		s.pending = append(s.pending, func() { _, _ = write() })
-		return 0, down
+		return 0, unavailable
 	default:
 		return write()
 	}
 }
 
-// TestClaimedRequestRunsAtMostOnce lets retries of one request come to several
-// gateways, whose steps interleave and pause at will, over a faulty store.
+// TestClaimedRequestRunsAtMostOnce checks that a request retried through several
+// gateways runs at most once, with arbitrary interleaving of the gateways' steps and with
+// store calls that fail, lose their response or take effect late.
 func TestClaimedRequestRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		faults := rapid.SampledFrom([]fault{none, none, none, refused, lost, late})
+		faults := rapid.SampledFrom([]fault{none, none, none, rejected, lost, delayed})
 		s := &store{objects: make(map[string]mustardsaddle.Object)}
 		s.next = func() fault { return faults.Draw(t, "Fault") }
 		claims := claim.New(claim.Config{Store: s})
@@ -101,7 +102,7 @@
 				open = append(open, c)
 			}
 			if err == nil && !held && c.Outcome == mustardsaddle.Ran && ran == 0 {
-				t.Fatalf("claim says Ran, nothing ran")
+				t.Fatalf("got a claim with outcome Ran, but no request ran")
 			}
 		}
 		if ran > 1 {
@@ -112,45 +113,45 @@
 
 func TestTake(t *testing.T) {
 	convey.Convey("Given a store", t, func() {
-		script := []fault{}
+		faults := []fault{}
 		s := &store{objects: make(map[string]mustardsaddle.Object)}
 		s.next = func() fault {
-			if len(script) == 0 {
+			if len(faults) == 0 {
 				return none
 			}
-			f := script[0]
-			script = script[1:]
+			f := faults[0]
+			faults = faults[1:]
 			return f
 		}
 		claims := claim.New(claim.Config{Store: s})
-		take := func(holder string) (mustardsaddle.Claim, bool, error) {
+		takeClaim := func(holder string) (mustardsaddle.Claim, bool, error) {
 			return claims.Take(context.Background(), "Booking", "key", holder)
 		}
-		convey.Convey("A lost answer of the write is resolved by reading it back", func() {
-			script = []fault{lost}
-			_, held, err := take("a")
+		convey.Convey("If the response to the write is lost, the claim is read back", func() {
+			faults = []fault{lost}
+			_, held, err := takeClaim("a")
 			convey.So([]any{held, err}, convey.ShouldResemble, []any{true, nil})
-			_, held, err = take("b")
+			_, held, err = takeClaim("b")
 			convey.So([]any{held, err}, convey.ShouldResemble, []any{false, nil})
 		})
-		convey.Convey("With the store down nobody may send", func() {
-			script = []fault{refused, refused}
-			_, held, err := take("a")
+		convey.Convey("If the store is unavailable, no call may send the request", func() {
+			faults = []fault{rejected, rejected}
+			_, held, err := takeClaim("a")
 			convey.So(held, convey.ShouldBeFalse)
 			convey.So(code.Of(err), convey.ShouldEqual, code.StoreUnavailable)
 		})
-		convey.Convey("A claim settled as NotRun may be taken again, one that ran may not", func() {
-			c, _, _ := take("a")
+		convey.Convey("A claim with outcome NotRun can be taken over, and one with outcome Ran cannot", func() {
+			c, _, _ := takeClaim("a")
 			convey.So(claims.Settle(context.Background(), c.WithOutcome(mustardsaddle.NotRun, 0)), convey.ShouldBeNil)
-			c, held, _ := take("b")
+			c, held, _ := takeClaim("b")
 			convey.So(held, convey.ShouldBeTrue)
 			convey.So(claims.Settle(context.Background(), c.WithOutcome(mustardsaddle.Ran, 201)), convey.ShouldBeNil)
-			c, held, _ = take("c")
+			c, held, _ = takeClaim("c")
 			convey.So([]any{held, c.Outcome, c.Status, c.Holder}, convey.ShouldResemble, []any{false, mustardsaddle.Ran, 201, "b"})
 		})
-		convey.Convey("An object that is not a claim is refused", func() {
-			s.objects[claim.Key("Booking", "key")] = mustardsaddle.Object{Version: 1, Value: []byte("not ours")}
-			_, held, err := take("a")
+		convey.Convey("An object that is not a claim is an error", func() {
+			s.objects[claim.Key("Booking", "key")] = mustardsaddle.Object{Version: 1, Value: []byte("not a claim")}
+			_, held, err := takeClaim("a")
 			convey.So(held, convey.ShouldBeFalse)
 			convey.So(code.Of(err), convey.ShouldEqual, code.StoreBadObject)
 			convey.So(errors.Unwrap(err), convey.ShouldNotBeNil)
