--- a/internal/request/header/header.go
+++ b/internal/request/header/header.go
@@ -1,4 +1,5 @@
-// Package header says which header fields pass a gateway, and which it sets.
+// Package header implements the header handling of the reverse proxy: which fields are
+// forwarded, which are removed and which are set.
 //
 // # Usage
 //
@@ -16,46 +17,49 @@
 	"strings"
 )
 
-// Headers of the load balancer's own. Those that a caller or a server sends are
-// removed, so that nobody can forge an outcome.
+// Headers reserved for the load balancer. They are removed from the requests of callers
+// and the responses of servers, so that neither can forge an outcome.
 const (
-	// Outcome tells the caller what is known about execution.
+	// Outcome is the response header that states what is known about execution.
 	Outcome = "Mustardsaddle-Outcome"
-	// Code tells the caller the number of the result code.
+	// Code is the response header with the number of the result code.
 	Code = "Mustardsaddle-Code"
-	// Attempt tells the server the attempt's id. A server may echo it.
+	// Attempt is the request header with the ID of the attempt. A server may echo it.
 	Attempt = "Mustardsaddle-Attempt"
-	// Deadline tells the server how many milliseconds the caller waits.
+	// Deadline is the request header with the remaining time of the caller in
+	// milliseconds.
 	Deadline = "Mustardsaddle-Deadline"
-	// ownPrefix begins the name of each of these.
-	ownPrefix = "Mustardsaddle-"
+	// reservedPrefix is the prefix of all reserved headers.
+	reservedPrefix = "Mustardsaddle-"
 )
 
-// HopByHop reports whether a header belongs to one connection only.
+// HopByHop reports whether a header is not forwarded because it is hop-by-hop or
+// reserved for the load balancer.
 func HopByHop(name string) bool {
 	switch name {
 	case "Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 		"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Http2-Settings":
 		return true
 	default:
-		return strings.HasPrefix(name, ownPrefix)
+		return strings.HasPrefix(name, reservedPrefix)
 	}
 }
 
-// CopyEndToEnd adds to dst the headers of src that are not of one connection, nor
-// named by Connection, nor our own. The value slices are shared.
+// CopyEndToEnd copies to dst the headers of src that are neither hop-by-hop, nor listed in
+// Connection, nor reserved. The value slices are shared.
 func CopyEndToEnd(dst, src http.Header) {
-	listed := src["Connection"]
+	connectionTokens := src["Connection"]
 	for name, values := range src {
-		if HopByHop(name) || (listed != nil && listsToken(listed, name)) {
+		if HopByHop(name) || (connectionTokens != nil && containsToken(connectionTokens, name)) {
 			continue
 		}
 		dst[name] = values
 	}
 }
 
-// listsToken reports whether a header's comma-separated values name the token.
-func listsToken(values []string, token string) bool {
+// containsToken reports whether comma-separated header values contain the token, ignoring
+// case.
+func containsToken(values []string, token string) bool {
 	for _, v := range values {
 		for part := range strings.SplitSeq(v, ",") {
 			if strings.EqualFold(textproto.TrimString(part), token) {
@@ -66,74 +70,74 @@
 	return false
 }
 
-// Outgoing is the header of the request to a server. Its own fields share one
-// array of values.
+// Outgoing is the header of a request to a server. The values of the fields set by the
+// gateway share one array.
 type Outgoing struct {
 	http.Header
 	values []string
 }
 
-// ownFields is how many fields a request gains on its way.
-const ownFields = 8
+// addedCapacity is the capacity reserved for the fields that the gateway adds to a request.
+const addedCapacity = 8
 
-// Set replaces a field by one value.
+// Set sets a field to a single value.
 func (o *Outgoing) Set(name, value string) {
 	n := len(o.values)
 	o.values = append(o.values, value)
 	o.Header[name] = o.values[n : n+1 : n+1]
 }
 
-// add appends one element to a field that is a list.
-func (o *Outgoing) add(name, value string) {
-	if known := o.Header[name]; len(known) > 0 {
-		value = strings.Join(known, ", ") + ", " + value
+// appendToList appends one element to a comma-separated list field.
+func (o *Outgoing) appendToList(name, value string) {
+	if existing := o.Header[name]; len(existing) > 0 {
+		value = strings.Join(existing, ", ") + ", " + value
 	}
 	o.Set(name, value)
 }
 
-// setMissing sets a field that the caller did not send.
-func (o *Outgoing) setMissing(name, value string) {
+// setDefault sets a field unless the caller sent it.
+func (o *Outgoing) setDefault(name, value string) {
 	if o.Header[name] == nil {
 		o.Set(name, value)
 	}
 }
 
-// Gateway forwards the headers of requests under its name.
+// Gateway creates the headers of forwarded requests.
 type Gateway struct {
-	// via1 and via2 are its elements of Via for callers of HTTP/1 and HTTP/2.
+	// via1 and via2 are the Via elements for requests received over HTTP/1 and HTTP/2.
 	via1, via2 string
 }
 
-// NewGateway returns the gateway of a name.
+// NewGateway returns a Gateway that adds the given name to Via.
 func NewGateway(name string) Gateway {
 	return Gateway{via1: "1.1 " + name, via2: "2.0 " + name}
 }
 
-// Forward returns the header of the request to a server, without the attempt's own
-// fields.
+// Forward returns the header of a request to a server, without the fields that differ
+// between attempts.
 func (g Gateway) Forward(r *http.Request) Outgoing {
-	o := Outgoing{Header: make(http.Header, len(r.Header)+ownFields), values: make([]string, 0, ownFields)}
+	o := Outgoing{Header: make(http.Header, len(r.Header)+addedCapacity), values: make([]string, 0, addedCapacity)}
 	CopyEndToEnd(o.Header, r.Header)
-	if listsToken(r.Header["Te"], "trailers") {
+	if containsToken(r.Header["Te"], "trailers") {
 		o.Set("Te", "trailers")
 	}
 	if _, ok := o.Header["User-Agent"]; !ok {
-		o.Header["User-Agent"] = nil // keeps net/http from adding its own
+		o.Header["User-Agent"] = nil // prevents net/http from adding its default
 	}
 	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil {
-		o.add("X-Forwarded-For", host)
+		o.appendToList("X-Forwarded-For", host)
 	}
-	o.setMissing("X-Forwarded-Host", r.Host)
-	o.setMissing("X-Forwarded-Proto", "http")
+	o.setDefault("X-Forwarded-Host", r.Host)
+	o.setDefault("X-Forwarded-Proto", "http")
 	via := g.via1
 	if r.ProtoMajor > 1 {
 		via = g.via2
 	}
-	o.add("Via", via)
+	o.appendToList("Via", via)
 	return o
 }
 
-// TrailerNames returns the declared trailers that may pass, without values.
+// TrailerNames returns the declared trailers that may be forwarded, without values.
 func TrailerNames(declared http.Header) http.Header {
 	if len(declared) == 0 {
 		return nil
--- a/internal/request/header/header_test.go
+++ b/internal/request/header/header_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestForward(t *testing.T) {
-	convey.Convey("Given a caller's request with fields of its connection and forged ones of ours", t, func() {
+	convey.Convey("Given a request with hop-by-hop headers and a forged reserved header", t, func() {
 		r := httptest.NewRequest(http.MethodGet, "http://sheds.example/rosters", http.NoBody)
 		r.RemoteAddr = "192.0.2.7:5000"
 		for name, value := range map[string]string{
@@ -22,12 +22,12 @@
 		}
 		out := header.NewGateway("gateway-1").Forward(r)
 		out.Set(header.Attempt, "gateway-1-a-1")
-		convey.Convey("What belongs to the connection or is forged stays behind", func() {
+		convey.Convey("Hop-by-hop and forged headers are removed", func() {
 			for _, name := range []string{"Connection", "X-Hop", "Keep-Alive", header.Outcome} {
 				convey.So(out.Get(name), convey.ShouldBeEmpty)
 			}
 		})
-		convey.Convey("The rest passes, and the way is added", func() {
+		convey.Convey("Other headers are forwarded, and forwarding headers are added", func() {
 			for name, want := range map[string]string{
 				"Accept": "text/plain", "Te": "trailers", "X-Forwarded-For": "198.51.100.1, 192.0.2.7",
 				"X-Forwarded-Host": "sheds.example", "X-Forwarded-Proto": "http", "Via": "1.1 front, 1.1 gateway-1",
@@ -36,7 +36,7 @@
 				convey.So(out.Get(name), convey.ShouldEqual, want)
 			}
 		})
-		convey.Convey("The caller's own header is as it was", func() {
+		convey.Convey("The header of the original request is unchanged", func() {
 			convey.So(r.Header.Get("Via"), convey.ShouldEqual, "1.1 front")
 			convey.So(r.Header.Get(header.Attempt), convey.ShouldBeEmpty)
 		})
@@ -46,6 +46,6 @@
 func TestTrailerNames(t *testing.T) {
 	got := header.TrailerNames(http.Header{"Digest": nil, "Content-Length": nil, "Transfer-Encoding": nil})
 	if _, ok := got["Digest"]; !ok || len(got) != 1 {
-		t.Errorf("got trailers %v, want Digest alone", got)
+		t.Errorf("got trailers %v, want only Digest", got)
 	}
 }
