--- a/internal/control/store/breaker.go
+++ b/internal/control/store/breaker.go
@@ -11,25 +11,26 @@
 type State int
 
 const (
-	// Closed lets every call through.
+	// Closed allows every call.
 	Closed State = iota
-	// Open lets none through until its pause has passed.
+	// Open allows no call until the backoff delay has passed.
 	Open
-	// HalfOpen lets one call through, whose end decides.
+	// HalfOpen has allowed one trial call, whose result closes or reopens the breaker.
 	HalfOpen
 )
 
-// Backoff describes pauses that double after each failure.
+// Backoff configures an exponential backoff with jitter. The delay doubles after each
+// failure.
 type Backoff struct {
-	// Base is the longest first pause.
+	// Base is the first delay before jitter.
 	Base time.Duration
-	// Max is the longest pause.
+	// Max is the maximum delay.
 	Max time.Duration
 }
 
-// Delay returns the pause after the given number of failures, at least one. It
-// lies at random between half of the full pause and all of it, so that many
-// callers that failed together do not return together.
+// Delay returns the delay after the given number of failures, which is at least one. It
+// is chosen at random between half of the full delay and all of it, so that clients that
+// failed at the same time do not retry at the same time.
 func (b Backoff) Delay(rng *rand.Rand, failures int) time.Duration {
 	full := b.Base
 	for i := 1; i < failures && full < b.Max; i++ {
@@ -39,43 +40,42 @@
 	return full/2 + time.Duration(rng.Int64N(int64(full/2)+1))
 }
 
-// Breaker is a circuit breaker: a state machine that decides whether a call may
-// go out. A Breaker is not safe for concurrent use.
+// Breaker is a circuit breaker: a state machine that decides whether a call may be sent.
+// A Breaker is not safe for concurrent use.
 type Breaker struct {
-	// threshold is how many failures in a row open the breaker.
+	// threshold is the number of consecutive failures that opens the breaker.
 	threshold int
 	backoff   Backoff
 
 	state    State
 	failures int
-	until    time.Time
+	retryAt  time.Time
 	opened   int64
 }
 
-// NewBreaker returns a closed Breaker that opens after threshold failures in a
-// row.
+// NewBreaker returns a closed Breaker that opens after threshold consecutive failures.
 func NewBreaker(threshold int, backoff Backoff) *Breaker {
 	return &Breaker{threshold: threshold, backoff: backoff}
 }
 
-// State returns the present state.
+// State returns the current state.
 func (b *Breaker) State() State {
 	return b.state
 }
 
-// Opened returns how often the breaker has opened.
+// Opened returns how many times the breaker has opened.
 func (b *Breaker) Opened() int64 {
 	return b.opened
 }
 
-// Allow reports whether a call may go out now. A call that was allowed must be
-// followed by Success, Failure or Cancel.
+// Allow reports whether a call may be sent now. The caller must report the result of an
+// allowed call with Success, Failure or Cancel.
 func (b *Breaker) Allow(now time.Time) bool {
 	switch b.state {
 	case Closed:
 		return true
 	case Open:
-		if now.Before(b.until) {
+		if now.Before(b.retryAt) {
 			return false
 		}
 		b.state = HalfOpen
@@ -85,16 +85,16 @@
 	}
 }
 
-// Success tells that an allowed call was answered.
+// Success records that an allowed call received a response. It closes the breaker.
 func (b *Breaker) Success() {
 	b.state = Closed
 	b.failures = 0
 }
 
-// Failure tells that an allowed call failed.
+// Failure records that an allowed call failed.
 func (b *Breaker) Failure(now time.Time, rng *rand.Rand) {
 	if b.state == Open {
-		// A call that went out before the breaker opened has failed too.
+		// The call was sent before the breaker opened.
 		return
 	}
 	b.failures++
@@ -103,14 +103,15 @@
 	}
 	b.state = Open
 	b.opened++
-	b.until = now.Add(b.backoff.Delay(rng, b.failures-b.threshold+1))
+	b.retryAt = now.Add(b.backoff.Delay(rng, b.failures-b.threshold+1))
 }
 
-// Cancel tells that an allowed call was given up by its caller, which says
-// nothing about the store.
+// Cancel records that an allowed call was canceled by its caller or not sent, which
+// gives no information about the store. A half-open breaker then allows another trial
+// call.
 func (b *Breaker) Cancel(now time.Time) {
 	if b.state == HalfOpen {
 		b.state = Open
-		b.until = now
+		b.retryAt = now
 	}
 }
--- a/internal/control/store/budget.go
+++ b/internal/control/store/budget.go
@@ -6,29 +6,31 @@
 	"golang.org/x/time/rate"
 )
 
-// Rates are calls per second of a whole fleet.
+// Rates are limits on the calls per second of the whole fleet.
 type Rates struct {
-	// Reads covers reads, lists and watches: a waiting watch counts as a read.
+	// Reads limits reads, lists and watches. A watch counts as one read.
 	Reads float64
-	// Writes covers writes.
+	// Writes limits writes.
 	Writes float64
 }
 
 //go:generate go tool -modfile=../../../tools/go.mod stringer -type=Use -output=use_string.go
 
-// Use says what calls to the store are for.
+// Use is the purpose of calls to the store, which determines their priority.
 type Use int
 
 const (
-	// Rules is for the rules and the list of VMs, without which nothing works.
+	// Rules is for the routing rules and the list of VMs, which the gateway cannot work
+	// without.
 	Rules Use = iota
-	// Status is for reports to operators.
+	// Status is for status reports to operators.
 	Status
-	// Claims is for callers' claimed requests, of which there can be any number.
+	// Claims is for the claims of requests, whose number is not bounded.
 	Claims
 )
 
-// reserve returns the share of a bucket that calls of this use leave to the others.
+// reserve returns the fraction of a token bucket that calls of this use leave to calls of
+// higher priority.
 func (u Use) reserve() float64 {
 	switch u {
 	case Claims:
@@ -40,44 +42,44 @@
 	}
 }
 
-// Bounds of the calls that one gateway may make at once after a quiet time. In
-// between it is the calls of one second, so that the bursts of a large fleet
-// that starts at once stay near the rates.
+// Bounds of the size of a token bucket, which is the burst after an idle period. Between
+// them, a bucket holds the calls of one second, so that the combined burst of a large
+// fleet that starts at the same time stays close to the rates.
 const (
 	minBurst = 4
 	maxBurst = 20
 )
 
-// Budget is one gateway's share of the fleet's calls: a token bucket each for
-// reads and writes. Claims leave half of a bucket to the others, and status calls a
-// quarter to the rules, so that however many claimed requests come, the rules and
-// what operators are told of them go on. A Budget is not safe for concurrent use.
+// Budget enforces one gateway's share of the fleet's rate limits, with one token bucket
+// for reads and one for writes. Claims leave half of a bucket to other calls, and status
+// calls leave a quarter to the rules, so that any number of claims does not block rules
+// and status reports. A Budget is not safe for concurrent use.
 type Budget struct {
 	rates  Rates
 	reads  *rate.Limiter
 	writes *rate.Limiter
 }
 
-// NewBudget returns the budget of one gateway of a fleet of the given size.
+// NewBudget returns the Budget of one gateway in a fleet of the given size.
 func NewBudget(rates Rates, fleet int) *Budget {
 	b := &Budget{rates: rates, reads: rate.NewLimiter(0, maxBurst), writes: rate.NewLimiter(0, maxBurst)}
 	b.SetFleet(time.Time{}, fleet)
 	return b
 }
 
-// SetFleet divides the rates by the number of gateways.
+// SetFleet sets the number of gateways among which the rates are divided.
 func (b *Budget) SetFleet(now time.Time, n int) {
-	share(now, b.reads, b.rates.Reads, n)
-	share(now, b.writes, b.rates.Writes, n)
+	setRate(now, b.reads, b.rates.Reads, n)
+	setRate(now, b.writes, b.rates.Writes, n)
 }
 
-func share(now time.Time, limiter *rate.Limiter, total float64, n int) {
+func setRate(now time.Time, limiter *rate.Limiter, total float64, n int) {
 	perSecond := total / float64(max(n, 1))
 	limiter.SetLimitAt(now, rate.Limit(perSecond))
 	limiter.SetBurstAt(now, min(max(int(perSecond), minBurst), maxBurst))
 }
 
-// Take reports whether a call may be made now, and takes its token.
+// Take takes a token for a call and reports whether the call may be sent now.
 func (b *Budget) Take(now time.Time, write bool, use Use) bool {
 	limiter := b.reads
 	if write {
--- a/internal/control/store/call.go
+++ b/internal/control/store/call.go
@@ -11,7 +11,7 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/code"
 )
 
-// Kind is the kind of a call, which decides what it counts as.
+// Kind is the kind of a call, which determines the rate limit that applies to it.
 type Kind string
 
 // Kinds of calls.
@@ -23,37 +23,39 @@
 
 // Request is one call to the platform.
 type Request struct {
-	// Kind is what the call counts as.
+	// Kind is the kind of the call.
 	Kind Kind
-	// Method is the HTTP method; empty means PUT for a write and GET for all else.
+	// Method is the HTTP method; empty means PUT for a write and GET otherwise.
 	Method string
-	// Path is the path with the query.
+	// Path is the URL path with the query string.
 	Path string
-	// Header is sent besides what net/http adds.
+	// Header holds the headers sent in addition to those that net/http sets.
 	Header http.Header
-	// Value is the body.
+	// Value is the request body.
 	Value []byte
-	// Wait is how long the platform may hold the call open before it answers.
+	// Wait is how long the platform may hold the request open before it responds. It
+	// extends the client's timeout.
 	Wait time.Duration
-	// MaxBytes bounds the body of the answer; 0 means MaxValueBytes.
+	// MaxBytes is the maximum size of the response body; 0 means MaxValueBytes.
 	MaxBytes int
-	// Check turns a status into an error; nil means that of the client's own calls.
-	// An error with code.StoreUnavailable or code.StoreRefused counts as a failure.
+	// Check converts an HTTP status to an error; nil means checkStatus. Errors with
+	// code.StoreUnavailable or code.StoreRefused count as failures for the circuit
+	// breaker.
 	Check func(q Request, status int) error
 }
 
-// Answer is a whole answer of the platform.
+// Answer is a response of the platform with its whole body.
 type Answer struct {
 	// Status is the HTTP status.
 	Status int
-	// Header is the answer's header.
+	// Header is the response header.
 	Header http.Header
-	// Body is the answer's body.
+	// Body is the response body.
 	Body []byte
 }
 
-// Call sends a request, if the budget and the circuit breaker allow it. It serves
-// clients of platforms whose paths and encodings differ from this client's own.
+// Call sends a request if the budget and the circuit breaker allow it. It is exported for
+// clients of platforms whose paths and encodings differ from those of this client.
 func (c *Client) Call(ctx context.Context, q Request) (Answer, error) {
 	if q.Check == nil {
 		q.Check = checkStatus
@@ -75,7 +77,7 @@
 	if err == nil {
 		err = q.Check(q, a.Status)
 	} else if ctx.Err() == nil {
-		// The other open connections may have gone silent with this one.
+		// Other pooled connections may have stopped responding for the same reason.
 		c.http.CloseIdleConnections()
 	}
 	c.finish(time.Now(), err, ctx.Err() != nil, len(a.Body), len(q.Value))
@@ -87,7 +89,7 @@
 	if err != nil {
 		return Answer{}, code.Wrapf(code.StoreRefused, err, "%s %s", q.Method, q.Path)
 	}
-	// Without GetBody the transport does not send a request a second time.
+	// Without GetBody, the transport does not retry the request on another connection.
 	r.GetBody = nil
 	for name, values := range q.Header {
 		r.Header[name] = values
@@ -102,12 +104,12 @@
 		return Answer{}, code.Wrapf(code.StoreUnavailable, err, "%s %s", q.Method, q.Path)
 	}
 	if len(body) > q.MaxBytes {
-		return Answer{}, code.Errorf(code.StoreTooLarge, "%s %s: answer is larger than %d bytes", q.Method, q.Path, q.MaxBytes)
+		return Answer{}, code.Errorf(code.StoreTooLarge, "%s %s: response is larger than %d bytes", q.Method, q.Path, q.MaxBytes)
 	}
 	return Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
 
-// checkStatus turns a status into an error. A server error leaves it unknown
+// checkStatus converts an HTTP status to an error. After a server error it is unknown
 // whether a write took effect.
 func checkStatus(q Request, status int) error {
 	switch {
@@ -116,7 +118,7 @@
 	case q.Kind != Writing && (status == http.StatusNotFound || status == http.StatusNotModified):
 		return nil
 	case status == http.StatusPreconditionFailed:
-		return code.Errorf(code.StoreConflict, "%s %s: the version is not the newest", q.Kind, q.Path)
+		return code.Errorf(code.StoreConflict, "%s %s: the version is not the current one", q.Kind, q.Path)
 	case status >= http.StatusInternalServerError:
 		return code.Errorf(code.StoreUnavailable, "%s %s: got status %d, want 200", q.Kind, q.Path, status)
 	default:
--- a/internal/control/store/client.go
+++ b/internal/control/store/client.go
@@ -1,7 +1,6 @@
-// Package store is the client of the platform's object store. It keeps every
-// call inside a time limit, the gateway's share of the platform's rates, and a
-// circuit breaker that pauses after failures. It never repeats a call by itself:
-// each caller knows whether its call is worth repeating.
+// Package store is a client of the platform's object store. It applies a timeout, the
+// gateway's share of the platform's rate limits, and a circuit breaker to every call. It
+// never retries a call: each caller decides whether to retry.
 //
 // # Usage
 //
@@ -10,7 +9,7 @@
 //	c.SetFleet(17)
 //	status := c.For(store.Status)
 //
-// The decisions, in Breaker and Budget, take the present time as an argument.
+// Breaker and Budget make the decisions and take the current time as an argument.
 package store
 
 import (
@@ -28,36 +27,38 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/code"
 )
 
-// MaxValueBytes is the largest value that the platform's store holds.
+// MaxValueBytes is the maximum size of a value in the platform's store.
 const MaxValueBytes = 1 << 20
 
 const (
 	// watchWait is how long the platform holds a watch open.
 	watchWait = 20 * time.Second
-	// defaultTimeout bounds a call other than a watch.
+	// defaultTimeout is the default timeout of calls other than watches.
 	defaultTimeout = 2 * time.Second
-	// defaultFleet is the number of gateways until SetFleet says otherwise.
+	// defaultFleet is the default fleet size until SetFleet is called.
 	defaultFleet = 17
-	// failuresToOpen is how many failures in a row open the circuit breaker.
+	// failuresToOpen is the number of consecutive failures that opens the circuit
+	// breaker.
 	failuresToOpen = 3
-	// maxConnections bounds the connections to the platform.
+	// maxConnections is the maximum number of connections to the platform.
 	maxConnections = 16
 )
 
 // Config configures a Client.
 type Config struct {
-	// URL is the base address of the platform.
+	// URL is the base URL of the platform.
 	URL string
-	// Timeout bounds each call other than a watch; 0 means 2 s.
+	// Timeout is the timeout of calls other than watches; 0 means 2 s.
 	Timeout time.Duration
-	// Rates are the calls per second of the whole fleet; 0 means 400 reads and
-	// 100 writes, a fifth of what the platform takes.
+	// Rates are the rate limits of the whole fleet; 0 means 400 reads and 100 writes per
+	// second, a fifth of the platform's capacity.
 	Rates Rates
-	// Fleet is the number of gateways that share the rates; 0 means 17.
+	// Fleet is the initial number of gateways that share the rates; 0 means 17.
 	Fleet int
-	// Backoff is the circuit breaker's pause; 0 means 200 ms to 3 s.
+	// Backoff configures the delay before an open circuit breaker allows a trial call; 0
+	// means 200 ms to 3 s.
 	Backoff Backoff
-	// Seed seeds the jitter.
+	// Seed seeds the jitter of the backoff.
 	Seed uint64
 }
 
@@ -83,11 +84,11 @@
 	cfg  Config
 	http *http.Client
 	core *core
-	// use says what its calls are for.
+	// use is the purpose of the client's calls.
 	use Use
 }
 
-// core is what the clients of all uses share.
+// core is the state shared by a client and those derived from it with For.
 type core struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
@@ -98,7 +99,7 @@
 
 var _ mustardsaddle.Store = (*Client)(nil)
 
-// New returns a Client. It opens no connection.
+// New returns a Client for the rules. It opens no connection.
 func New(cfg Config) *Client {
 	cfg = cfg.withDefaults()
 	return &Client{
@@ -112,22 +113,22 @@
 	}
 }
 
-// For returns a client for one use, which shares everything with c. A client serves
-// the rules unless it is made for another use.
+// For returns a client for the given use that shares connections, budget, circuit breaker
+// and statistics with c.
 func (c *Client) For(use Use) *Client {
 	other := *c
 	other.use = use
 	return &other
 }
 
-// SetFleet sets how many gateways share the platform's rates.
+// SetFleet sets the number of gateways that share the rates.
 func (c *Client) SetFleet(n int) {
 	c.core.mu.Lock()
 	defer c.core.mu.Unlock()
 	c.core.budget.SetFleet(time.Now(), n)
 }
 
-// Close closes the idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.http.CloseIdleConnections()
 }
@@ -137,14 +138,14 @@
 	return c.object(ctx, Request{Kind: Reading, Path: objectPath(key)}, key, 0)
 }
 
-// GetVersion reads an old version of an object.
+// GetVersion reads a specific version of an object.
 func (c *Client) GetVersion(ctx context.Context, key string, version int64) (mustardsaddle.Object, error) {
 	path := objectPath(key) + "?version=" + strconv.FormatInt(version, 10)
 	return c.object(ctx, Request{Kind: Reading, Path: path}, key, 0)
 }
 
-// Watch waits until the object is newer than version. When the wait ends without
-// a change the object has the given version and no value.
+// Watch waits until the object is newer than version. If the wait ends without a
+// change, the returned object has the given version and no value.
 func (c *Client) Watch(ctx context.Context, key string, version int64) (mustardsaddle.Object, error) {
 	path := fmt.Sprintf("%s?after=%d&wait=%s", objectPath(key), version, watchWait)
 	return c.object(ctx, Request{Kind: Watching, Path: path, Wait: watchWait}, key, version)
@@ -165,14 +166,15 @@
 	case http.StatusNotModified:
 		return mustardsaddle.Object{Key: key, Version: version}, nil
 	}
-	found, err := parseETag(a.Header.Get("ETag"))
+	current, err := parseETag(a.Header.Get("ETag"))
 	if err != nil {
 		return mustardsaddle.Object{}, err
 	}
-	return mustardsaddle.Object{Key: key, Version: found, Value: a.Body}, nil
+	return mustardsaddle.Object{Key: key, Version: current, Value: a.Body}, nil
 }
 
-// Put writes a value if the newest version is still the given one.
+// Put writes a value on the condition that the current version is the given one, where 0
+// means that the object does not exist. It returns the new version.
 func (c *Client) Put(ctx context.Context, key string, value []byte, version int64) (int64, error) {
 	if len(value) > MaxValueBytes {
 		return 0, code.Errorf(code.StoreTooLarge, "write %s: got %d bytes, want at most %d", key, len(value), MaxValueBytes)
@@ -188,14 +190,15 @@
 	return parseETag(a.Header.Get("ETag"))
 }
 
-// List returns the keys below a prefix.
+// List returns the objects whose keys have the given prefix.
 func (c *Client) List(ctx context.Context, prefix string) ([]mustardsaddle.Object, error) {
 	var objects []mustardsaddle.Object
 	err := c.decode(ctx, "/objects?prefix="+url.QueryEscape(prefix), &objects)
 	return objects, err
 }
 
-// Machines reads one page of the platform's lagging list of VMs.
+// Machines reads the platform's list of a service's VMs, which may lag behind. If the
+// list still has the known version, the returned page is not marked as changed.
 func (c *Client) Machines(ctx context.Context, service, known string) (mustardsaddle.Page, error) {
 	path := "/machines?service=" + url.QueryEscape(service)
 	header := http.Header{}
--- a/internal/control/store/client_test.go
+++ b/internal/control/store/client_test.go
@@ -18,8 +18,9 @@
 	"mustardsaddle.example/mustardsaddle/internal/standin/platform"
 )
 
-// start returns a platform and a client of it with a budget that tests can't spend.
-func start(t *testing.T, timeout time.Duration) (*platform.Platform, *store.Client) {
+// newTestClient returns a platform and a client for it whose rate limit is too high for
+// tests to reach.
+func newTestClient(t *testing.T, timeout time.Duration) (*platform.Platform, *store.Client) {
 	p := platform.New(platform.Config{})
 	server := httptest.NewServer(p.Handler())
 	t.Cleanup(server.Close)
@@ -29,15 +30,15 @@
 }
 
 func TestClientAgainstPlatform(t *testing.T) {
-	convey.Convey("Given an object of two versions", t, func() {
+	convey.Convey("Given an object with two versions", t, func() {
 		ctx := context.Background()
-		p, c := start(t, 5*time.Second)
+		p, c := newTestClient(t, 5*time.Second)
 		_, err := c.Put(ctx, "Rules/A b%", []byte("one"), 0)
 		convey.So(err, convey.ShouldBeNil)
 		version, err := c.Put(ctx, "Rules/A b%", []byte("two"), 1)
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(version, convey.ShouldEqual, 2)
-		convey.Convey("It reads the newest, an old, and a missing version", func() {
+		convey.Convey("The current, an old and a missing version can be read", func() {
 			o, err := c.Get(ctx, "Rules/A b%")
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(string(o.Value), convey.ShouldEqual, "two")
@@ -51,19 +52,19 @@
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(len(objects), convey.ShouldEqual, 1)
 		})
-		convey.Convey("A write on an old condition is a conflict and changes nothing", func() {
+		convey.Convey("A write conditional on an old version is a conflict and changes nothing", func() {
 			_, err := c.Put(ctx, "Rules/A b%", []byte("three"), 1)
 			convey.So(code.Of(err), convey.ShouldEqual, code.StoreConflict)
 			convey.So(len(p.History("Rules/A b%")), convey.ShouldEqual, 2)
 			convey.So(c.Stats().State, convey.ShouldEqual, store.Closed)
 		})
-		convey.Convey("A write whose answer is lost is unknown and has taken effect once", func() {
+		convey.Convey("A write whose response is lost returns an error and takes effect once", func() {
 			p.SetFault(platform.Fault{LoseAnswers: true})
 			_, err := c.Put(ctx, "Rules/A b%", []byte("three"), 2)
 			convey.So(code.Of(err), convey.ShouldEqual, code.StoreUnavailable)
 			convey.So(len(p.History("Rules/A b%")), convey.ShouldEqual, 3)
 		})
-		convey.Convey("A watch ends with the newer version", func() {
+		convey.Convey("A watch returns the newer version", func() {
 			done := make(chan int64)
 			go func() {
 				o, _ := c.Watch(ctx, "Rules/A b%", 2)
@@ -83,13 +84,13 @@
 		want    code.Code
 	}{
 		{"server error", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, code.StoreUnavailable},
-		{"above the rate", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(429) }, code.StoreRefused},
+		{"rate limited", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(429) }, code.StoreRefused},
 		{"too large", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(large) }, code.StoreTooLarge},
 		{"no version", func(http.ResponseWriter, *http.Request) {}, code.StoreBadObject},
 		{"bad version", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("ETag", `"x"`) }, code.StoreBadObject},
-		{"silent", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, code.StoreUnavailable},
+		{"no response", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, code.StoreUnavailable},
 	} {
-		convey.Convey("Given a platform with the answer: "+test.name, t, func() {
+		convey.Convey("Given a platform with the response: "+test.name, t, func() {
 			server := httptest.NewServer(test.handler)
 			defer server.Close()
 			c := store.New(store.Config{URL: server.URL, Timeout: 200 * time.Millisecond, Fleet: 1})
@@ -104,18 +105,18 @@
 type connectionID struct{}
 
 func TestClientLeavesSilentConnections(t *testing.T) {
-	convey.Convey("Given connections that have all gone silent, while new ones work", t, func() {
+	convey.Convey("Given pooled connections that no longer respond, while new ones do", t, func() {
 		const parallel = 5
-		var accepted, silent atomic.Int64
+		var accepted, unresponsive atomic.Int64
 		var entered sync.WaitGroup
 		entered.Add(parallel)
 		server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			id, _ := r.Context().Value(connectionID{}).(int64)
-			if id <= silent.Load() {
+			if id <= unresponsive.Load() {
 				<-r.Context().Done()
 				return
 			}
-			if silent.Load() == 0 {
+			if unresponsive.Load() == 0 {
 				entered.Done()
 				entered.Wait()
 			}
@@ -138,8 +139,8 @@
 		for range parallel {
 			convey.So(<-errs, convey.ShouldBeNil)
 		}
-		silent.Store(accepted.Load())
-		convey.Convey("One call fails, and the next takes a new connection", func() {
+		unresponsive.Store(accepted.Load())
+		convey.Convey("One call fails, and the next uses a new connection", func() {
 			_, err := c.Get(context.Background(), "k")
 			convey.So(code.Of(err), convey.ShouldEqual, code.StoreUnavailable)
 			_, err = c.Get(context.Background(), "k")
@@ -149,14 +150,14 @@
 }
 
 func TestClientStopsCallingAPlatformThatIsDown(t *testing.T) {
-	convey.Convey("Given a platform that is down", t, func() {
-		p, c := start(t, 5*time.Second)
+	convey.Convey("Given a platform that is unavailable", t, func() {
+		p, c := newTestClient(t, 5*time.Second)
 		p.SetFault(platform.Fault{Down: true})
 		for range 1000 {
 			_, err := c.Get(context.Background(), "k")
 			convey.So(code.Of(err), convey.ShouldBeIn, code.StoreUnavailable, code.StoreBackoff, code.StoreBudget)
 		}
-		convey.Convey("Few of many calls reach it, and watches are not tried", func() {
+		convey.Convey("Few of many calls are sent, and watches are not", func() {
 			convey.So(p.Calls(), convey.ShouldBeLessThan, 20)
 			_, err := c.Watch(context.Background(), "k", 0)
 			convey.So(code.Of(err), convey.ShouldEqual, code.StoreBackoff)
@@ -165,8 +166,8 @@
 }
 
 func TestClientKeepsToTheBudgetWithAFastCaller(t *testing.T) {
-	convey.Convey("Given a client of a fleet of 1,000", t, func() {
-		p, c := start(t, 5*time.Second)
+	convey.Convey("Given a client in a fleet of 1,000 gateways", t, func() {
+		p, c := newTestClient(t, 5*time.Second)
 		c.SetFleet(1000)
 		started := time.Now()
 		for range 1000 {
--- a/internal/control/store/core_test.go
+++ b/internal/control/store/core_test.go
@@ -20,7 +20,7 @@
 		b.Failure(now, rng)
 		convey.So(b.Allow(now), convey.ShouldBeTrue)
 		b.Failure(now, rng)
-		convey.Convey("It refuses until its pause has passed, then lets one call through", func() {
+		convey.Convey("It allows no call until its delay has passed, and then one call", func() {
 			convey.So(b.Allow(now.Add(499*time.Millisecond)), convey.ShouldBeFalse)
 			now = now.Add(time.Second)
 			convey.So(b.Allow(now), convey.ShouldBeTrue)
@@ -29,12 +29,12 @@
 				b.Success()
 				convey.So(b.State(), convey.ShouldEqual, store.Closed)
 			})
-			convey.Convey("A failure doubles the pause", func() {
+			convey.Convey("A failure doubles the delay", func() {
 				b.Failure(now, rng)
 				convey.So(b.Allow(now.Add(999*time.Millisecond)), convey.ShouldBeFalse)
 				convey.So(b.Allow(now.Add(2*time.Second)), convey.ShouldBeTrue)
 			})
-			convey.Convey("A call given up lets the next one try", func() {
+			convey.Convey("A canceled call allows another trial call", func() {
 				b.Cancel(now)
 				convey.So(b.Allow(now), convey.ShouldBeTrue)
 			})
@@ -48,13 +48,13 @@
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		failures := rapid.IntRange(1, 1000).Draw(t, "failures")
 		if d := b.Delay(rng, failures); d < b.Base/2 || d > b.Max {
-			t.Fatalf("got %s, want %s to %s", d, b.Base/2, b.Max)
+			t.Fatalf("got a delay of %s, want %s to %s", d, b.Base/2, b.Max)
 		}
 	})
 }
 
-// TestBudgetProperty checks that no pattern of arrivals, and no change of the
-// fleet's size, lets a gateway take more than its share and one burst.
+// TestBudgetProperty checks that a gateway never exceeds its share of the rates plus one
+// burst, for any arrival pattern and any changes of the fleet size.
 func TestBudgetProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const burst = 20
@@ -73,7 +73,7 @@
 				taken[write]++
 			}
 			if taken[write] > allowed[write]+1e-6 {
-				t.Fatalf("took %g, want at most %g (write: %t)", taken[write], allowed[write], write)
+				t.Fatalf("got %g allowed calls, want at most %g (write: %t)", taken[write], allowed[write], write)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "resize") == 0 {
 				fleet = rapid.IntRange(1, 1000).Draw(t, "fleet")
@@ -84,7 +84,7 @@
 }
 
 func TestStatusIsDroppedBeforeRules(t *testing.T) {
-	convey.Convey("Given a budget of which less than a quarter is left", t, func() {
+	convey.Convey("Given a token bucket that is less than a quarter full", t, func() {
 		const burst = 20
 		now := time.Unix(1000, 0)
 		b := store.NewBudget(store.Rates{Reads: burst, Writes: burst}, 1)
@@ -100,15 +100,15 @@
 	})
 }
 
-// However many claims come, and however often they are refused, each write of the
-// rules and of their status finds a token.
+// TestClaimsLeaveRoom checks that rules and status writes always find a token, even if
+// claims take every token available to them and are often refused.
 func TestClaimsLeaveRoom(t *testing.T) {
 	for _, fleet := range []int{1, 9, 140} {
-		convey.Convey(fmt.Sprintf("Given one of %d gateways whose claims take all that they get", fleet), t, func() {
+		convey.Convey(fmt.Sprintf("Given one of %d gateways whose claims take every token available to them", fleet), t, func() {
 			b := store.NewBudget(store.Rates{Reads: 400, Writes: 100}, fleet)
 			now, claims := time.Unix(1000, 0), 0
 			const seconds = 60
-			// Each of the other uses has a write in the time of sixteen tokens.
+			// Each of the other uses writes once in the time in which 16 tokens are added.
 			period := 160 * fleet
 			for i := range seconds * 1000 {
 				now = now.Add(time.Millisecond)
--- a/internal/control/store/seed_test.go
+++ b/internal/control/store/seed_test.go
@@ -2,6 +2,6 @@
 
 import "flag"
 
-// Each run draws the same cases, so that the verdict never changes by itself; a
-// -rapid.seed on the command line comes later and wins.
+// A fixed seed makes property tests generate the same cases in every run. A -rapid.seed
+// flag on the command line is parsed later and overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/internal/control/store/stats.go
+++ b/internal/control/store/stats.go
@@ -6,31 +6,32 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/code"
 )
 
-// Stats counts the calls of a Client since it was made.
+// Stats holds the statistics of a Client and of those derived from it with For.
 type Stats struct {
-	// Reads, Watches and Writes are the calls sent to the platform.
+	// Reads, Watches and Writes count the calls sent to the platform.
 	Reads, Watches, Writes int64
-	// BytesIn and BytesOut are the bytes of values read and written.
+	// BytesIn and BytesOut count the bytes of response and request bodies.
 	BytesIn, BytesOut int64
-	// Conflicts are conditional writes that found a newer version.
+	// Conflicts counts conditional writes that found a newer version.
 	Conflicts int64
-	// Failures are calls without a usable answer.
+	// Failures counts calls without a usable response.
 	Failures int64
-	// Refused are calls that the platform refused.
+	// Refused counts calls that the platform refused.
 	Refused int64
-	// OverBudget are calls not sent because the budget was spent.
+	// OverBudget counts calls not sent because of the rate limit, except status calls.
 	OverBudget int64
-	// StatusDropped are status calls not sent to leave room for others.
+	// StatusDropped counts status calls not sent because of the rate limit, part of which
+	// is reserved for the rules.
 	StatusDropped int64
-	// BackedOff are calls not sent because the circuit breaker was open.
+	// BackedOff counts calls not sent because the circuit breaker was not closed.
 	BackedOff int64
-	// Opened is how often the circuit breaker has opened.
+	// Opened counts how many times the circuit breaker has opened.
 	Opened int64
-	// State is the state of the circuit breaker.
+	// State is the current state of the circuit breaker.
 	State State
 }
 
-// Stats returns the present counts.
+// Stats returns the current statistics.
 func (c *Client) Stats() Stats {
 	c.core.mu.Lock()
 	defer c.core.mu.Unlock()
@@ -39,15 +40,17 @@
 	return s
 }
 
-// admit decides whether a call may go out, and counts it.
+// admit checks the circuit breaker and the budget. It returns an error if the call may
+// not be sent, and updates the statistics in either case.
 func (c *Client) admit(now time.Time, k Kind) error {
 	s := c.core
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// A watch takes long to show anything, so that it can't test a store that failed.
+	// A watch can stay open for long without a response, so it is not used as the trial
+	// call of a half-open breaker.
 	if k == Watching && s.breaker.State() != Closed || !s.breaker.Allow(now) {
 		s.stats.BackedOff++
-		return code.Errorf(code.StoreBackoff, "%s: the store failed and is not called yet", k)
+		return code.Errorf(code.StoreBackoff, "%s: the circuit breaker of the store is open", k)
 	}
 	if !s.budget.Take(now, k == Writing, c.use) {
 		s.breaker.Cancel(now)
@@ -56,7 +59,7 @@
 		} else {
 			s.stats.OverBudget++
 		}
-		return code.Errorf(code.StoreBudget, "%s: the call budget is spent", k)
+		return code.Errorf(code.StoreBudget, "%s: the rate limit of store calls is exceeded", k)
 	}
 	switch k {
 	case Reading:
@@ -69,7 +72,7 @@
 	return nil
 }
 
-// finish counts how a call that went out has ended.
+// finish records the result of a call that was sent.
 func (c *Client) finish(now time.Time, err error, canceled bool, in, out int) {
 	s := c.core
 	s.mu.Lock()
--- a/internal/control/store/task.go
+++ b/internal/control/store/task.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits, and returns false when the context has ended.
+// Sleep waits for d. It returns false if the context is done first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -17,17 +17,17 @@
 	}
 }
 
-// RunAll runs the parts of a follower of the store side by side, and returns when all
-// have ended.
-func RunAll(ctx context.Context, parts ...func(context.Context)) {
-	ended := make(chan struct{})
-	for _, part := range parts {
+// RunAll runs functions concurrently and returns when all have returned. It is used by
+// packages that follow changes in the store with several loops.
+func RunAll(ctx context.Context, tasks ...func(context.Context)) {
+	done := make(chan struct{})
+	for _, task := range tasks {
 		go func() {
-			part(ctx)
-			ended <- struct{}{}
+			task(ctx)
+			done <- struct{}{}
 		}()
 	}
-	for range parts {
-		<-ended
+	for range tasks {
+		<-done
 	}
 }
