--- a/internal/request/booking/budget.go
+++ b/internal/request/booking/budget.go
@@ -60,7 +60,7 @@
 		b.Retry.earn()
 		b.Hedge.earn()
 		if b.Window != nil {
-			b.Window.Call(now)
+			b.Window.RecordCall(now)
 		}
 	}
 	return true
--- a/internal/request/booking/window.go
+++ b/internal/request/booking/window.go
@@ -37,8 +37,8 @@
 	return &Window{span: span}
 }
 
-// Call records a call.
-func (w *Window) Call(now time.Time) {
+// RecordCall records a call.
+func (w *Window) RecordCall(now time.Time) {
 	w.intervalAt(now).calls++
 }
 
--- a/internal/request/booking/window_test.go
+++ b/internal/request/booking/window_test.go
@@ -25,7 +25,7 @@
 		for range rapid.IntRange(1, 300).Draw(t, "Steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "Millis")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "Call") {
-				w.Call(now)
+				w.RecordCall(now)
 				calls = append(calls, now)
 			} else if w.Take(now, bounds) {
 				extra = append(extra, now)
--- a/internal/request/slot/slot.go
+++ b/internal/request/slot/slot.go
@@ -5,8 +5,8 @@
 // # Usage
 //
 //	q := slot.New(slot.Config{MaxWaiting: 1024})
-//	verdict := q.Join(now, slot.Ticket{ID: id, Deadline: deadline})
-//	if !verdict.Waits { ... }  // refuse the call with verdict.RetryAfter
+//	result := q.Join(now, slot.Ticket{ID: id, Deadline: deadline})
+//	if !result.Waits { ... }  // refuse the call with result.RetryAfter
 //	...
 //	q.Released(now, latency)   // an attempt ended
 //	id, ok := q.First(now)     // the call to serve next
@@ -70,8 +70,8 @@
 	Patience time.Duration
 }
 
-// Verdict is the result of Join.
-type Verdict struct {
+// JoinResult is the result of Join.
+type JoinResult struct {
 	// Waits is true if the call was queued, and false if it was refused.
 	Waits bool
 	// Until is the time at which a queued call expires.
@@ -105,17 +105,17 @@
 // Join queues a call or refuses it. A call is refused if the queue is full, or if at
 // the measured release rate it would be served too late to complete an attempt of
 // average latency before its deadline.
-func (q *Queue) Join(now time.Time, t Ticket) Verdict {
+func (q *Queue) Join(now time.Time, t Ticket) JoinResult {
 	until := t.Deadline.Add(-max(q.latency, t.Deadline.Sub(now)/attemptShare))
 	if limit := now.Add(t.Patience); t.Patience > 0 && limit.Before(until) {
 		until = limit
 	}
 	servedAt := now.Add(q.releaseInterval * time.Duration(len(q.waiting)+1))
 	if len(q.waiting) >= q.cfg.MaxWaiting || !now.Before(until) || servedAt.After(until) {
-		return Verdict{RetryAfter: q.RetryAfter()}
+		return JoinResult{RetryAfter: q.RetryAfter()}
 	}
 	q.waiting = append(q.waiting, queuedTicket{Ticket: t, until: until})
-	return Verdict{Waits: true, Until: until}
+	return JoinResult{Waits: true, Until: until}
 }
 
 // First returns the call to be served next, or false if the queue is empty.
