--- a/internal/peer/news/codec.go
+++ b/internal/peer/news/codec.go
@@ -10,73 +10,76 @@
 	"mustardsaddle.example/mustardsaddle/internal/control/roster"
 )
 
-// maxNesting bounds how deep arrays and maps of a message nest.
-const maxNesting = 8
+// maxNestedLevels bounds the nesting depth of arrays and maps in a message.
+const maxNestedLevels = 8
 
 // Codec encodes and decodes messages. It is safe for concurrent use.
 type Codec struct {
-	enc cbor.EncMode
-	dec cbor.DecMode
+	encMode cbor.EncMode
+	decMode cbor.DecMode
 }
 
-// envelope is what travels.
+// envelope is the outer map of an encoded message.
 type envelope struct {
 	Format int
 	Type   string
 	Body   cbor.RawMessage
 }
 
-// header is the part of an envelope that every format has.
+// header is the part of an envelope that is the same in every format version. It
+// is decoded first, since the other fields may have another shape in a newer format.
 type header struct {
 	Format int
 }
 
 // NewCodec returns a Codec.
 func NewCodec() *Codec {
-	enc, err := cbor.EncOptions{}.EncMode()
+	encMode, err := cbor.EncOptions{}.EncMode()
 	if err != nil {
 		panic("news: the encoding options are invalid: " + err.Error())
 	}
-	dec, err := cbor.DecOptions{
+	decMode, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
 		IndefLength:       cbor.IndefLengthForbidden,
 		TagsMd:            cbor.TagsForbidden,
-		MaxNestedLevels:   maxNesting,
-		MaxArrayElements:  maxLines,
+		MaxNestedLevels:   maxNestedLevels,
+		MaxArrayElements:  maxRuleLines,
 		FieldNameMatching: cbor.FieldNameMatchingCaseSensitive,
 	}.DecMode()
 	if err != nil {
 		panic("news: the decoding options are invalid: " + err.Error())
 	}
-	return &Codec{enc: enc, dec: dec}
+	return &Codec{encMode: encMode, decMode: decMode}
 }
 
-// Encode returns the encoded message. It refuses, with code.PeerBadMessage, what
-// Decode would refuse.
+// Encode returns the encoded message. It validates the fields as Decode does, with
+// code.PeerBadMessage for one that is missing or out of range, but does not compare
+// the encoded size with MaxBytes.
 func (c *Codec) Encode(msg Message) ([]byte, error) {
 	if err := check(msg); err != nil {
 		return nil, err
 	}
-	body, err := c.enc.Marshal(msg)
+	body, err := c.encMode.Marshal(msg)
 	if err != nil {
-		return nil, code.Wrapf(code.PeerBadMessage, err, "encode message %s", name(msg.Type()))
+		return nil, code.Wrapf(code.PeerBadMessage, err, "encode message %s", typeName(msg.Type()))
 	}
-	b, err := c.enc.Marshal(envelope{Format: Format, Type: name(msg.Type()), Body: body})
+	b, err := c.encMode.Marshal(envelope{Format: Format, Type: typeName(msg.Type()), Body: body})
 	if err != nil {
-		return nil, code.Wrapf(code.PeerBadMessage, err, "encode message %s", name(msg.Type()))
+		return nil, code.Wrapf(code.PeerBadMessage, err, "encode message %s", typeName(msg.Type()))
 	}
 	return b, nil
 }
 
 // Decode returns the message in b. The error has code.PeerNewerFormat for a
-// message of a newer format and code.PeerBadMessage for any other that cannot
-// be read or breaks a limit. A type of a later version decodes as Unknown.
+// message of a newer format, and code.PeerBadMessage for any other message that is
+// malformed or exceeds a limit. A message type that this version does not know
+// decodes as Unknown.
 func (c *Codec) Decode(b []byte) (Message, error) {
 	if len(b) > MaxBytes {
 		return nil, code.Errorf(code.PeerBadMessage, "decode message: got %d bytes, want at most %d", len(b), MaxBytes)
 	}
 	var h header
-	if err := c.dec.Unmarshal(b, &h); err != nil {
+	if err := c.decMode.Unmarshal(b, &h); err != nil {
 		return nil, code.Wrapf(code.PeerBadMessage, err, "decode message")
 	}
 	if h.Format > Format {
@@ -86,39 +89,39 @@
 		return nil, code.Errorf(code.PeerBadMessage, "decode message: got format %d, want at least 1", h.Format)
 	}
 	var e envelope
-	if err := c.dec.Unmarshal(b, &e); err != nil {
+	if err := c.decMode.Unmarshal(b, &e); err != nil {
 		return nil, code.Wrapf(code.PeerBadMessage, err, "decode message")
 	}
-	return c.body(e)
+	return c.decodeBody(e)
 }
 
-// body decodes the message in an envelope.
-func (c *Codec) body(e envelope) (Message, error) {
+// decodeBody decodes the body of an envelope according to its type.
+func (c *Codec) decodeBody(e envelope) (Message, error) {
 	switch e.Type {
-	case name(TypeHello):
+	case typeName(TypeHello):
 		return decode[Hello](c, e)
-	case name(TypeHeartbeat):
+	case typeName(TypeHeartbeat):
 		return decode[Heartbeat](c, e)
-	case name(TypeMarks):
+	case typeName(TypeMarks):
 		return decode[Marks](c, e)
-	case name(TypeRuleChange):
+	case typeName(TypeRuleChange):
 		return decode[RuleChange](c, e)
-	case name(TypeGenerations):
+	case typeName(TypeGenerations):
 		return decode[Generations](c, e)
-	case name(TypeAskRules):
+	case typeName(TypeAskRules):
 		return decode[AskRules](c, e)
-	case name(TypeWholeRules):
+	case typeName(TypeWholeRules):
 		return decode[WholeRules](c, e)
-	case name(TypeAskMachines):
+	case typeName(TypeAskMachines):
 		return decode[AskMachines](c, e)
-	case name(TypeMachines):
+	case typeName(TypeMachines):
 		return decode[Machines](c, e)
-	case name(TypeListing):
+	case typeName(TypeListing):
 		return decode[Listing](c, e)
-	case name(TypeAskListing):
+	case typeName(TypeAskListing):
 		return decode[AskListing](c, e)
 	case "":
-		return nil, code.Errorf(code.PeerBadMessage, "decode message: got no type")
+		return nil, code.Errorf(code.PeerBadMessage, "decode message: the type is missing")
 	default:
 		return Unknown{Name: e.Type[:min(len(e.Type), maxNameBytes)]}, nil
 	}
@@ -126,7 +129,7 @@
 
 func decode[M Message](c *Codec, e envelope) (Message, error) {
 	var msg M
-	if err := c.dec.Unmarshal(e.Body, &msg); err != nil {
+	if err := c.decMode.Unmarshal(e.Body, &msg); err != nil {
 		return nil, code.Wrapf(code.PeerBadMessage, err, "decode message %s", e.Type)
 	}
 	if err := check(msg); err != nil {
@@ -135,12 +138,12 @@
 	return msg, nil
 }
 
-// name returns the name of a type as it travels.
-func name(t Type) string {
+// typeName returns the name of a type in the encoded envelope.
+func typeName(t Type) string {
 	return strings.TrimPrefix(t.String(), "Type")
 }
 
-// check returns an error if a message breaks a limit.
+// check returns an error if a field of a message is missing or out of range.
 func check(msg Message) error {
 	switch m := msg.(type) {
 	case Hello:
@@ -154,7 +157,7 @@
 	case Generations:
 		return checkGenerations(m)
 	case AskRules:
-		return checkNumber(m, "Have", m.Have)
+		return checkNonNegative(m, "Have", m.Have)
 	case WholeRules:
 		return checkWholeRules(m)
 	case AskMachines:
@@ -166,16 +169,16 @@
 	case AskListing:
 		return nil
 	default:
-		return code.Errorf(code.PeerBadMessage, "message %s cannot be sent", name(msg.Type()))
+		return code.Errorf(code.PeerBadMessage, "message %s cannot be sent", typeName(msg.Type()))
 	}
 }
 
 func checkHello(m Hello) error {
 	if m.VM.Name == "" {
-		return code.Errorf(code.PeerBadMessage, "message Hello: got no name of a VM")
+		return code.Errorf(code.PeerBadMessage, "message Hello: the name of the VM is missing")
 	}
 	for _, s := range []string{m.VM.Name, m.VM.Zone, m.VM.Peer} {
-		if err := checkName(m, s); err != nil {
+		if err := checkNameLength(m, s); err != nil {
 			return err
 		}
 	}
@@ -192,7 +195,7 @@
 		{"Servers.Revision", s.Servers.Revision}, {"Servers.Age", s.Servers.Age},
 	}
 	for _, number := range numbers {
-		if err := checkNumber(m, number.field, number.n); err != nil {
+		if err := checkNonNegative(m, number.field, number.n); err != nil {
 			return err
 		}
 	}
@@ -213,12 +216,12 @@
 
 func checkMark(m Marks, mark mustardsaddle.Mark) error {
 	if mark.Name == "" {
-		return code.Errorf(code.PeerBadMessage, "message Marks: got a mark without the name of a VM")
+		return code.Errorf(code.PeerBadMessage, "message Marks: a mark has no VM name")
 	}
 	if mark.Seq < 0 || mark.Seq > roster.FinalSeq {
 		return code.Errorf(code.PeerBadMessage, "message Marks: got Seq=%d, want 0 to %d", mark.Seq, roster.FinalSeq)
 	}
-	return checkName(m, mark.Name)
+	return checkNameLength(m, mark.Name)
 }
 
 func checkGenerations(m Generations) error {
@@ -226,10 +229,10 @@
 		return code.Errorf(code.PeerBadMessage, "message Generations: got %d VMs, want at most %d", len(m.VMs), MaxMarks)
 	}
 	for _, vm := range m.VMs {
-		if err := checkName(m, vm.Name); err != nil {
+		if err := checkNameLength(m, vm.Name); err != nil {
 			return err
 		}
-		if err := checkNumber(m, "Generation", vm.Generation); err != nil {
+		if err := checkNonNegative(m, "Generation", vm.Generation); err != nil {
 			return err
 		}
 	}
@@ -238,17 +241,17 @@
 
 func checkRuleChange(m RuleChange) error {
 	if m.From < 0 || m.To <= m.From || m.Submission < 0 {
-		return code.Errorf(code.PeerBadMessage, "message RuleChange: got From=%d To=%d Submission=%d, want 0 <= From < To and no negative submission",
+		return code.Errorf(code.PeerBadMessage, "message RuleChange: got From=%d To=%d Submission=%d, want 0 <= From < To and Submission >= 0",
 			m.From, m.To, m.Submission)
 	}
 	bytes := 0
 	for _, lines := range [][]RuleEdit{m.Out, m.In} {
-		if len(lines) > maxLines {
-			return code.Errorf(code.PeerBadMessage, "message RuleChange: got %d lines, want at most %d", len(lines), maxLines)
+		if len(lines) > maxRuleLines {
+			return code.Errorf(code.PeerBadMessage, "message RuleChange: got %d lines, want at most %d", len(lines), maxRuleLines)
 		}
 		for _, line := range lines {
 			if line.At < 0 {
-				return code.Errorf(code.PeerBadMessage, "message RuleChange: got a line at %d, want at least 0", line.At)
+				return code.Errorf(code.PeerBadMessage, "message RuleChange: got line position %d, want at least 0", line.At)
 			}
 			bytes += len(line.Text)
 		}
@@ -263,19 +266,19 @@
 	if len(m.Text) > MaxRulesBytes {
 		return code.Errorf(code.PeerBadMessage, "message WholeRules: got %d bytes, want at most %d", len(m.Text), MaxRulesBytes)
 	}
-	return checkNumber(m, "Generation", m.Generation)
+	return checkNonNegative(m, "Generation", m.Generation)
 }
 
 func checkMachines(m Message, machines []mustardsaddle.Machine) error {
 	if len(machines) > MaxMachines {
-		return code.Errorf(code.PeerBadMessage, "message %s: got %d VMs, want at most %d", name(m.Type()), len(machines), MaxMachines)
+		return code.Errorf(code.PeerBadMessage, "message %s: got %d VMs, want at most %d", typeName(m.Type()), len(machines), MaxMachines)
 	}
 	for _, machine := range machines {
 		if machine.Name == "" {
-			return code.Errorf(code.PeerBadMessage, "message %s: got a VM without a name", name(m.Type()))
+			return code.Errorf(code.PeerBadMessage, "message %s: a VM has no name", typeName(m.Type()))
 		}
 		for _, s := range []string{machine.Name, machine.Zone, machine.Service, machine.Address} {
-			if err := checkName(m, s); err != nil {
+			if err := checkNameLength(m, s); err != nil {
 				return err
 			}
 		}
@@ -285,33 +288,33 @@
 
 func checkListing(m Listing) error {
 	if m.After < 0 || m.Revision <= 0 || m.Generation < 0 {
-		return code.Errorf(code.PeerBadMessage, "message Listing: got After=%d Revision=%d Generation=%d, want a revision above 0 and no negative number",
+		return code.Errorf(code.PeerBadMessage, "message Listing: got After=%d Revision=%d Generation=%d, want After >= 0, Revision > 0 and Generation >= 0",
 			m.After, m.Revision, m.Generation)
 	}
 	if len(m.Rules) > MaxRulesBytes {
-		return code.Errorf(code.PeerBadMessage, "message Listing: got rules of %d bytes, want at most %d", len(m.Rules), MaxRulesBytes)
+		return code.Errorf(code.PeerBadMessage, "message Listing: got a rules text of %d bytes, want at most %d", len(m.Rules), MaxRulesBytes)
 	}
 	if len(m.Removed) > MaxMachines {
-		return code.Errorf(code.PeerBadMessage, "message Listing: got %d names, want at most %d", len(m.Removed), MaxMachines)
+		return code.Errorf(code.PeerBadMessage, "message Listing: got %d removed names, want at most %d", len(m.Removed), MaxMachines)
 	}
 	for _, removed := range m.Removed {
-		if err := checkName(m, removed); err != nil {
+		if err := checkNameLength(m, removed); err != nil {
 			return err
 		}
 	}
 	return checkMachines(m, m.Machines)
 }
 
-func checkName(m Message, s string) error {
+func checkNameLength(m Message, s string) error {
 	if len(s) > maxNameBytes {
-		return code.Errorf(code.PeerBadMessage, "message %s: got a name of %d bytes, want at most %d", name(m.Type()), len(s), maxNameBytes)
+		return code.Errorf(code.PeerBadMessage, "message %s: got a name of %d bytes, want at most %d", typeName(m.Type()), len(s), maxNameBytes)
 	}
 	return nil
 }
 
-func checkNumber(m Message, field string, n int64) error {
+func checkNonNegative(m Message, field string, n int64) error {
 	if n < 0 {
-		return code.Errorf(code.PeerBadMessage, "message %s: got %s=%d, want at least 0", name(m.Type()), field, n)
+		return code.Errorf(code.PeerBadMessage, "message %s: got %s=%d, want at least 0", typeName(m.Type()), field, n)
 	}
 	return nil
 }
--- a/internal/peer/news/codec_test.go
+++ b/internal/peer/news/codec_test.go
@@ -29,7 +29,7 @@
 	}
 )
 
-func samples() []news.Message {
+func sampleMessages() []news.Message {
 	return []news.Message{
 		hello, news.Heartbeat{Summary: summary}, news.Marks{Marks: []mustardsaddle.Mark{mark}}, change,
 		news.AskRules{Have: 40_000}, news.WholeRules{Generation: 1, Text: "# Generation 1\n"},
@@ -48,7 +48,7 @@
 	}
 }
 
-func raw(t testing.TB, v any) []byte {
+func mustMarshal(t testing.TB, v any) []byte {
 	b, err := cbor.Marshal(v)
 	if err != nil {
 		t.Fatal(err)
@@ -65,45 +65,45 @@
 func TestDecode(t *testing.T) {
 	codec := news.NewCodec()
 	marks := func(m ...mustardsaddle.Mark) []byte {
-		return raw(t, envelope{1, "Marks", news.Marks{Marks: m}})
+		return mustMarshal(t, envelope{1, "Marks", news.Marks{Marks: m}})
 	}
 	for _, c := range []struct {
 		name string
 		in   []byte
 		want code.Code
 	}{
-		{"nothing", nil, code.PeerBadMessage},
-		{"text", []byte("GET / HTTP/1.1\r\n"), code.PeerBadMessage},
-		{"a newer format", raw(t, envelope{2, "Marks", 7}), code.PeerNewerFormat},
-		{"a newer format of another shape", raw(t, map[string]any{"Format": 3, "Type": 9}), code.PeerNewerFormat},
-		{"no format", raw(t, envelope{0, "Marks", news.Marks{}}), code.PeerBadMessage},
-		{"no type", raw(t, envelope{1, "", nil}), code.PeerBadMessage},
-		{"a body of another type", raw(t, envelope{1, "Marks", 7}), code.PeerBadMessage},
-		{"no body", raw(t, map[string]any{"Format": 1, "Type": "Marks"}), code.PeerBadMessage},
-		{"bytes after the message", append(marks(mark), 0), code.PeerBadMessage},
-		{"a field twice", []byte("\xa2\x66Format\x01\x66Format\x01"), code.PeerBadMessage},
-		{"too many bytes", make([]byte, news.MaxBytes+1), code.PeerBadMessage},
-		{"a listing without a revision", raw(t, envelope{1, "Listing", news.Listing{Whole: true}}), code.PeerBadMessage},
-		{"a negative age", raw(t, envelope{1, "Heartbeat", news.Heartbeat{Summary: news.Summary{Rules: news.Known{Age: -1}}}}), code.PeerBadMessage},
+		{"an empty message", nil, code.PeerBadMessage},
+		{"text in place of CBOR", []byte("GET / HTTP/1.1\r\n"), code.PeerBadMessage},
+		{"a newer format", mustMarshal(t, envelope{2, "Marks", 7}), code.PeerNewerFormat},
+		{"a newer format with other field types", mustMarshal(t, map[string]any{"Format": 3, "Type": 9}), code.PeerNewerFormat},
+		{"format 0", mustMarshal(t, envelope{0, "Marks", news.Marks{}}), code.PeerBadMessage},
+		{"an empty type", mustMarshal(t, envelope{1, "", nil}), code.PeerBadMessage},
+		{"a body that does not match the type", mustMarshal(t, envelope{1, "Marks", 7}), code.PeerBadMessage},
+		{"a missing body", mustMarshal(t, map[string]any{"Format": 1, "Type": "Marks"}), code.PeerBadMessage},
+		{"trailing bytes", append(marks(mark), 0), code.PeerBadMessage},
+		{"a duplicate field", []byte("\xa2\x66Format\x01\x66Format\x01"), code.PeerBadMessage},
+		{"a message above the size limit", make([]byte, news.MaxBytes+1), code.PeerBadMessage},
+		{"a listing without a revision", mustMarshal(t, envelope{1, "Listing", news.Listing{Whole: true}}), code.PeerBadMessage},
+		{"a summary with a negative age", mustMarshal(t, envelope{1, "Heartbeat", news.Heartbeat{Summary: news.Summary{Rules: news.Known{Age: -1}}}}), code.PeerBadMessage},
 		{"too many marks", marks(make([]mustardsaddle.Mark, news.MaxMarks+1)...), code.PeerBadMessage},
-		{"a mark of no VM", marks(mustardsaddle.Mark{}), code.PeerBadMessage},
-		{"a mark with a long name", marks(mustardsaddle.Mark{Name: strings.Repeat("x", 256)}), code.PeerBadMessage},
-		{"a mark beyond the last Seq", marks(mustardsaddle.Mark{Name: "x", Seq: 1 << 31}), code.PeerBadMessage},
-		{"a change back", raw(t, envelope{1, "RuleChange", news.RuleChange{From: 3, To: 3}}), code.PeerBadMessage},
-		{"a change at a negative line", raw(t, envelope{1, "RuleChange", news.RuleChange{To: 1, In: []news.RuleEdit{{At: -1}}}}), code.PeerBadMessage},
-		{"a hello of no VM", raw(t, envelope{1, "Hello", news.Hello{}}), code.PeerBadMessage},
-		{"a VM without a name", raw(t, envelope{1, "Machines", news.Machines{Machines: make([]mustardsaddle.Machine, 1)}}), code.PeerBadMessage},
-		{"a negative generation", raw(t, envelope{1, "AskRules", news.AskRules{Have: -1}}), code.PeerBadMessage},
-		{"a field of a later version", raw(t, envelope{1, "AskRules", map[string]any{"Have": 1, "Why": "x"}}), code.OK},
-		{"a type of a later version", raw(t, envelope{1, "Weather", 7}), code.OK},
-		{"a message", marks(mark), code.OK},
+		{"a mark without the name of a VM", marks(mustardsaddle.Mark{}), code.PeerBadMessage},
+		{"a mark with a name above the length limit", marks(mustardsaddle.Mark{Name: strings.Repeat("x", 256)}), code.PeerBadMessage},
+		{"a mark with a Seq above FinalSeq", marks(mustardsaddle.Mark{Name: "x", Seq: 1 << 31}), code.PeerBadMessage},
+		{"a rule change that does not advance the generation", mustMarshal(t, envelope{1, "RuleChange", news.RuleChange{From: 3, To: 3}}), code.PeerBadMessage},
+		{"a rule change with a negative line position", mustMarshal(t, envelope{1, "RuleChange", news.RuleChange{To: 1, In: []news.RuleEdit{{At: -1}}}}), code.PeerBadMessage},
+		{"a Hello without the name of a VM", mustMarshal(t, envelope{1, "Hello", news.Hello{}}), code.PeerBadMessage},
+		{"a VM without a name", mustMarshal(t, envelope{1, "Machines", news.Machines{Machines: make([]mustardsaddle.Machine, 1)}}), code.PeerBadMessage},
+		{"a negative generation", mustMarshal(t, envelope{1, "AskRules", news.AskRules{Have: -1}}), code.PeerBadMessage},
+		{"an unknown field", mustMarshal(t, envelope{1, "AskRules", map[string]any{"Have": 1, "Why": "x"}}), code.OK},
+		{"an unknown type", mustMarshal(t, envelope{1, "Weather", 7}), code.OK},
+		{"a valid message", marks(mark), code.OK},
 	} {
-		convey.Convey("Given "+c.name, t, func() {
+		convey.Convey("Decode of "+c.name, t, func() {
 			_, err := codec.Decode(c.in)
 			convey.So(code.Of(err), convey.ShouldEqual, c.want)
 		})
 	}
-	convey.Convey("Encode refuses what Decode would refuse", t, func() {
+	convey.Convey("Encode rejects a rules text above the size limit, and both accept one at the limit", t, func() {
 		_, err := codec.Encode(news.WholeRules{Text: strings.Repeat("x", news.MaxRulesBytes+1)})
 		convey.So(code.Of(err), convey.ShouldEqual, code.PeerBadMessage)
 		b, err := codec.Encode(news.WholeRules{Text: strings.Repeat("x", news.MaxRulesBytes)})
@@ -123,7 +123,7 @@
 				Seq: rapid.Int64Range(0, 9).Draw(t, "Seq"), Leaving: rapid.Bool().Draw(t, "Leaving"),
 			})
 		}
-		for _, msg := range append(samples(), news.Marks{Marks: marks}) {
+		for _, msg := range append(sampleMessages(), news.Marks{Marks: marks}) {
 			b, err := codec.Encode(msg)
 			if err != nil {
 				t.Fatal(err)
@@ -138,42 +138,42 @@
 
 func FuzzDecode(f *testing.F) {
 	codec := news.NewCodec()
-	for _, msg := range samples() {
+	for _, msg := range sampleMessages() {
 		b, err := codec.Encode(msg)
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(b)
 	}
-	f.Add(raw(f, envelope{2, "Marks", 7}))
-	f.Add(raw(f, envelope{1, "Weather", 7}))
+	f.Add(mustMarshal(f, envelope{2, "Marks", 7}))
+	f.Add(mustMarshal(f, envelope{1, "Weather", 7}))
 	f.Add([]byte("\x9f\xbf\xff"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		msg, err := codec.Decode(b)
 		if err != nil {
 			if c := code.Of(err); c != code.PeerBadMessage && c != code.PeerNewerFormat {
-				t.Fatalf("got code %v", c)
+				t.Fatalf("got code %v, want PeerBadMessage or PeerNewerFormat", c)
 			}
 			return
 		}
 		if msg.Type() == news.TypeUnknown {
 			return
 		}
-		again, err := codec.Encode(msg)
+		encoded, err := codec.Encode(msg)
 		if err != nil {
-			t.Fatalf("a decoded message does not encode: %v", err)
+			t.Fatalf("encode the decoded message: %v", err)
 		}
-		if same, err := codec.Decode(again); err != nil || !reflect.DeepEqual(same, msg) {
-			t.Fatalf("got %v %v, want %v", same, err, msg)
+		if redecoded, err := codec.Decode(encoded); err != nil || !reflect.DeepEqual(redecoded, msg) {
+			t.Fatalf("got %v %v, want %v", redecoded, err, msg)
 		}
 	})
 }
 
-// BenchmarkMessage gives the bytes of each message, and the time to encode and
-// decode it.
+// BenchmarkMessage measures the encoded size of each sample message, and the time
+// to encode and decode it.
 func BenchmarkMessage(b *testing.B) {
 	codec := news.NewCodec()
-	for _, msg := range samples() {
+	for _, msg := range sampleMessages() {
 		b.Run(reflect.TypeOf(msg).Name(), func(b *testing.B) {
 			b.ReportAllocs()
 			bytes := 0
--- a/internal/peer/news/news.go
+++ b/internal/peer/news/news.go
@@ -1,19 +1,20 @@
-// Package news defines the messages that gateways exchange over their links, how
-// they are encoded, and which of them a gateway passes on.
+// Package news defines the messages that gateways exchange over their links, their
+// encoding, and the rules by which a gateway forwards them.
 //
 // A message is a CBOR map {"Format", "Type", "Body"}. Format is the version of
-// the whole set of messages: a message of a newer format is refused with
-// code.PeerNewerFormat and nothing of it is used. Within a format, types and
-// fields may be added: an unknown type decodes as Unknown, which receivers log
-// and ignore, and an unknown field is skipped. Keys are the fields' own names in
-// Pascal case: at the size of docs/CAPACITY.md integer keys would save some
-// hundred bytes a second of a budget of 23 KB, which is not worth a format that
-// cannot be read in a trace.
+// the whole message set: a message of a newer format is rejected as a whole with
+// code.PeerNewerFormat. Within a format, types and fields may be added: an unknown
+// type decodes as Unknown, which receivers log and ignore, and an unknown field is
+// skipped. Map keys are the Go field names: for a fleet of the size in
+// docs/CAPACITY.md, integer keys would save a few hundred bytes per second of a
+// budget of 23 KB per second, too little to give up messages that are readable in
+// a packet trace.
 //
-// Two ways carry news. Flooding brings a change to every gateway in a few
-// hops: Relay decides to whom a message goes on. Heartbeats carry a summary of
-// the sender's state, so that a gateway which missed a message, for whatever
-// reason, learns within a heartbeat that it lacks something and asks.
+// State spreads in two ways. Flooding brings a change to every gateway within a
+// few hops; Relay selects the links on which a message is forwarded. For
+// anti-entropy, each heartbeat carries a summary of the sender's state, so that a
+// gateway that missed a message for any reason detects this within one heartbeat
+// and requests what it lacks.
 //
 // # Usage
 //
@@ -46,25 +47,28 @@
 const Format = 1
 
 const (
-	// MaxBytes is the largest encoded message.
+	// MaxBytes is the maximum size of an encoded message.
 	MaxBytes = MaxRulesBytes + 4096
-	// MaxRulesBytes is the largest rules text, or change, in one message.
+	// MaxRulesBytes is the maximum size of the rules text, or of all lines of a rule
+	// change, in one message.
 	MaxRulesBytes = 1 << 20
-	// MaxMarks is the largest number of marks in one message.
+	// MaxMarks is the maximum number of marks, or of generations, in one message.
 	MaxMarks = 4096
-	// MaxMachines is the largest number of VMs in one message.
+	// MaxMachines is the maximum number of VMs in one message.
 	MaxMachines = 1024
-	// maxNameBytes bounds names, addresses and digests.
+	// maxNameBytes bounds the length of a name, zone, service or address.
 	maxNameBytes = 255
-	// maxLines bounds the lines of a rule change.
-	maxLines = 1 << 15
+	// maxRuleLines bounds the number of removed, and of inserted, lines of a rule
+	// change. No array in a message may be longer.
+	maxRuleLines = 1 << 15
 )
 
-// Type is the kind of a message. Its name is what travels.
+// Type is the type of a message. It is encoded as the constant's name without the
+// prefix "Type".
 type Type int
 
 const (
-	// TypeUnknown is a type of a later version.
+	// TypeUnknown stands for any type that this version does not know.
 	TypeUnknown Type = iota
 	// TypeHello is the type of Hello.
 	TypeHello
@@ -92,27 +96,29 @@
 
 // Message is one of the message types of this package. A Message is immutable.
 type Message interface {
-	// Type returns the kind of the message.
+	// Type returns the type of the message.
 	Type() Type
 }
 
-// Summary says what a gateway knows, in a few bytes.
+// Summary is a compact description of the state of a gateway, from which a peer
+// detects that one of the two lacks something.
 type Summary struct {
 	// Generation is the generation of the rules in force; 0 for none.
 	Generation int64
-	// MarksDigest is equal for gateways that know the same marks.
+	// MarksDigest is equal for gateways that hold the same marks.
 	MarksDigest uint64
-	// Rules and Servers say how much the sender knows of a directory; both are zero
-	// where there is none.
+	// Rules and Servers state how current the sender's copies of the collections of
+	// a directory are; both are zero in a deployment without a directory.
 	Rules   Known `cbor:",omitzero"`
 	Servers Known `cbor:",omitzero"`
 }
 
-// Known says how much a gateway knows of a collection of a directory.
+// Known states how current a gateway's copy of a collection of a directory is.
 type Known struct {
-	// Revision is the revision of the directory up to which everything is known.
+	// Revision is the revision of the directory up to which the copy is complete.
 	Revision int64
-	// Age is how many milliseconds ago nothing was missing.
+	// Age is the time, in milliseconds, since the copy was last known to be up to
+	// date.
 	Age int64
 }
 
@@ -120,68 +126,70 @@
 type Hello struct {
 	// VM is the sender.
 	VM mustardsaddle.VM
-	// Summary is what the sender knows.
+	// Summary describes the sender's state.
 	Summary Summary
 }
 
 // Heartbeat shows that the link and the sender's process are alive.
 type Heartbeat struct {
-	// Summary is what the sender knows.
+	// Summary describes the sender's state.
 	Summary Summary
 }
 
-// Marks tells of VMs that leave, or that serve again.
+// Marks announces VMs that are leaving, or that serve again.
 type Marks struct {
-	// Marks are at most MaxMarks marks.
+	// Marks holds at most MaxMarks marks.
 	Marks []mustardsaddle.Mark
 }
 
-// RuleEdit is one line of a rules file at a position, counted from 0.
+// RuleEdit is one line that a rule change removes or inserts.
 type RuleEdit struct {
-	// At is the position.
+	// At is the zero-based index of the line in the rules file.
 	At int
 	// Text is the line.
 	Text string
 }
 
-// RuleChange turns one generation of the rules into a later one.
+// RuleChange is the difference between one generation of the rules and a later one.
 type RuleChange struct {
-	// From is the generation that the change applies to.
+	// From is the generation to which the change applies.
 	From int64
-	// To is the generation that it gives.
+	// To is the generation that results.
 	To int64
-	// Submission is the submission that led to it.
+	// Submission is the submission that caused the change.
 	Submission int64
-	// Out are the lines that go, with their positions in generation From.
+	// Out holds the removed lines, with their indexes in generation From.
 	Out []RuleEdit
-	// In are the lines that come, with their positions in generation To.
+	// In holds the inserted lines, with their indexes in generation To.
 	In []RuleEdit
 	// Digest is the digest of the rules text of generation To.
 	Digest uint64
 }
 
-// AskRules asks for the rules after generation Have, as changes or whole.
+// AskRules requests the rules that follow generation Have. The answer is a series
+// of changes or the complete rules.
 type AskRules struct {
-	// Have is the asker's generation; 0 for none.
+	// Have is the generation that the requester holds; 0 for none.
 	Have int64
 }
 
-// WholeRules is a rules file.
+// WholeRules is a complete rules file.
 type WholeRules struct {
 	// Generation is the generation of the file.
 	Generation int64
-	// Text is the file, at most MaxRulesBytes.
+	// Text is the content of the file, at most MaxRulesBytes.
 	Text string
 }
 
-// AskMachines asks for the newest list of VMs that the peer has read. A gateway
-// sends it that starts while the platform cannot be reached.
+// AskMachines requests the newest list of VMs that the peer holds. With it, a
+// gateway that starts while the platform is unreachable obtains the list from its
+// peers.
 type AskMachines struct{}
 
 // Machines is a part of the platform's list of VMs, as the sender knows it. Each
-// part can be used alone.
+// part can be applied independently of the others.
 type Machines struct {
-	// Machines are at most MaxMachines VMs.
+	// Machines holds at most MaxMachines VMs.
 	Machines []mustardsaddle.Machine
 }
 
@@ -189,26 +197,29 @@
 type Listing struct {
 	// Servers is true for the servers and false for the rules.
 	Servers bool
-	// Whole is true if the listing is the whole collection.
+	// Whole is true for a snapshot of the collection and false for the changes since
+	// revision After.
 	Whole bool
-	// After is the revision that a listing which is not whole continues from.
+	// After is the revision on which the changes are based. A snapshot has none.
 	After int64
-	// Revision is the revision up to which the listing holds.
+	// Revision is the revision of the directory that the listing brings a receiver
+	// up to.
 	Revision int64
-	// Age is for how many milliseconds the directory may have changed unnoticed by
-	// the sender.
+	// Age is the time, in milliseconds, during which the directory may have changed
+	// without the sender's knowledge.
 	Age int64
-	// Generation is the generation of Rules; 0 if the listing has none.
+	// Generation is the generation of Rules; 0 if the listing carries no rules.
 	Generation int64
 	// Rules is a rules file of at most MaxRulesBytes.
 	Rules string
-	// Machines are at most MaxMachines servers that are new or have changed.
+	// Machines holds at most MaxMachines servers that are new or have changed.
 	Machines []mustardsaddle.Machine
-	// Removed names at most MaxMachines servers that are no longer listed.
+	// Removed holds the names of at most MaxMachines servers that are no longer
+	// listed.
 	Removed []string
 }
 
-// AskListing asks for a whole collection of a directory.
+// AskListing requests a snapshot of a collection of a directory.
 type AskListing struct {
 	// Servers is true for the servers and false for the rules.
 	Servers bool
@@ -216,7 +227,7 @@
 
 // Unknown stands for a message of a type that this version does not know.
 type Unknown struct {
-	// Name is the name of the type.
+	// Name is the name of the type, cut to 255 bytes.
 	Name string
 }
 
@@ -244,10 +255,10 @@
 // Type returns TypeMarks.
 func (Marks) Type() Type { return TypeMarks }
 
-// Generations tells which generation gateway VMs have in force, the sender among
-// them. Each gateway passes on what was new to it.
+// Generations states which generation of the rules gateway VMs, the sender
+// included, have in force. Each gateway forwards the entries that were new to it.
 type Generations struct {
-	// VMs are at most MaxMarks generations.
+	// VMs holds at most MaxMarks entries.
 	VMs []Generation
 }
 
@@ -280,7 +291,7 @@
 // Type returns TypeUnknown.
 func (Unknown) Type() Type { return TypeUnknown }
 
-// SplitMarks returns messages that together hold all marks.
+// SplitMarks divides marks into messages of at most MaxMarks marks each.
 func SplitMarks(marks []mustardsaddle.Mark) []Marks {
 	var messages []Marks
 	for part := range slices.Chunk(marks, MaxMarks) {
@@ -289,7 +300,8 @@
 	return messages
 }
 
-// SplitMachines returns messages that together hold all VMs of a list.
+// SplitMachines divides a list of VMs into messages of at most MaxMachines VMs
+// each.
 func SplitMachines(machines []mustardsaddle.Machine) []Machines {
 	var messages []Machines
 	for part := range slices.Chunk(machines, MaxMachines) {
--- a/internal/peer/news/relay.go
+++ b/internal/peer/news/relay.go
@@ -6,30 +6,37 @@
 )
 
 const (
-	// relayMemory is how many rule changes a Relay remembers.
-	relayMemory = 256
-	// defaultAskEvery is how often one peer is asked for rules at most.
-	defaultAskEvery = time.Second
-	// defaultMarksEvery is how often one peer is sent all marks at most.
-	defaultMarksEvery = 5 * time.Second
+	// maxSeenChanges is the number of recent rule changes by which a Relay detects
+	// duplicates.
+	maxSeenChanges = 256
+	// defaultMinAskInterval is the default of RelayConfig.MinAskInterval.
+	defaultMinAskInterval = time.Second
+	// defaultMinMarksInterval is the default of RelayConfig.MinMarksInterval.
+	defaultMinMarksInterval = 5 * time.Second
 )
 
 // RelayConfig configures a Relay. Zero values take the defaults.
 type RelayConfig struct {
-	// AskEvery is how often one peer is asked for rules at most.
-	AskEvery time.Duration
-	// MarksEvery is how often one peer is sent all marks at most.
-	MarksEvery time.Duration
+	// MinAskInterval is the minimum time between two requests for rules to one peer.
+	MinAskInterval time.Duration
+	// MinMarksInterval is the minimum time between two transfers of all marks to one
+	// peer.
+	MinMarksInterval time.Duration
 }
 
-// Relay decides what a gateway passes on, and what it lacks. It is a
-// deterministic state machine of bounded size, and not safe for concurrent use.
+// Relay decides which messages a gateway forwards and, by comparing summaries,
+// what two gateways lack of each other's state. It is a deterministic state
+// machine, and not safe for concurrent use. It holds a bounded number of rule
+// changes, and one entry per peer.
 type Relay struct {
-	cfg    RelayConfig
+	cfg RelayConfig
+	// seen holds the rule changes in the ring buffer recent.
 	seen   map[changeID]bool
 	recent []changeID
-	next   int
-	peers  map[string]exchange
+	// nextSlot is the index in recent of the oldest change, which the next one
+	// overwrites.
+	nextSlot int
+	peers    map[string]peerState
 }
 
 // changeID identifies a rule change.
@@ -38,40 +45,42 @@
 	digest   uint64
 }
 
-// exchange holds when a peer was last asked and last sent all marks.
-type exchange struct {
-	asked time.Time
-	sent  time.Time
+// peerState holds when a peer was last asked for rules and last sent all marks.
+type peerState struct {
+	rulesAskedAt time.Time
+	marksSentAt  time.Time
 }
 
-// Gap is what two gateways that compared their summaries have to do.
+// Gap states what a gateway has to do after it compared its summary with a peer's.
 type Gap struct {
-	// AskRules is true if the peer has newer rules and is to be asked for them.
+	// AskRules is true if the peer has newer rules, which are to be requested.
 	AskRules bool
-	// SendMarks is true if all own marks are to be sent to the peer.
+	// SendMarks is true if the marks differ and all own marks are to be sent.
 	SendMarks bool
 }
 
-// NewRelay returns a Relay that has passed nothing on.
+// NewRelay returns a Relay that has forwarded nothing.
 func NewRelay(cfg RelayConfig) *Relay {
-	cfg.AskEvery = cmp.Or(cfg.AskEvery, defaultAskEvery)
-	cfg.MarksEvery = cmp.Or(cfg.MarksEvery, defaultMarksEvery)
+	cfg.MinAskInterval = cmp.Or(cfg.MinAskInterval, defaultMinAskInterval)
+	cfg.MinMarksInterval = cmp.Or(cfg.MinMarksInterval, defaultMinMarksInterval)
 	return &Relay{
 		cfg:    cfg,
 		seen:   make(map[changeID]bool),
-		recent: make([]changeID, relayMemory),
-		peers:  make(map[string]exchange),
+		recent: make([]changeID, maxSeenChanges),
+		peers:  make(map[string]peerState),
 	}
 }
 
-// Targets returns the links on which a message goes on. From is the peer that
-// sent it, or empty for the gateway's own news. Generation is the generation in
-// force before the message is applied.
+// Targets returns the links on which a message is forwarded. From is the peer that
+// sent it, or empty for a message that originates here. Generation is the
+// generation in force before the message is applied.
 //
-// Marks and VMs go to every other link, so the caller passes only those that were
-// new to it; that alone ends the flood. A rule change goes on once, whether or not
-// it applies here, unless a generation as high is in force already. All other
-// messages concern one link alone.
+// Marks and VMs are forwarded on every link except the one they came by. The
+// caller must pass only entries that were new to it: nothing else ends the flood. A
+// rule change is forwarded once, whether or not it applies to the rules in force
+// here, unless these already have its resulting generation or a higher one. For all
+// other messages Targets returns no links: they are meant for their receiver alone
+// or, as Generations and Listing, are forwarded without a Relay.
 func (r *Relay) Targets(from string, msg Message, generation int64, links []string) []string {
 	switch m := msg.(type) {
 	case Marks:
@@ -83,7 +92,7 @@
 			return nil
 		}
 	case RuleChange:
-		if m.To <= generation || !r.remember(changeID{from: m.From, to: m.To, digest: m.Digest}) {
+		if m.To <= generation || !r.recordChange(changeID{from: m.From, to: m.To, digest: m.Digest}) {
 			return nil
 		}
 	default:
@@ -98,40 +107,40 @@
 	return targets
 }
 
-// remember returns false if the change was remembered already. The oldest
-// remembered change is forgotten.
-func (r *Relay) remember(id changeID) bool {
+// recordChange records a rule change and returns true, or returns false if it is
+// recorded already. A new change evicts the oldest one.
+func (r *Relay) recordChange(id changeID) bool {
 	if r.seen[id] {
 		return false
 	}
-	delete(r.seen, r.recent[r.next])
+	delete(r.seen, r.recent[r.nextSlot])
 	r.seen[id] = true
-	r.recent[r.next] = id
-	r.next = (r.next + 1) % len(r.recent)
+	r.recent[r.nextSlot] = id
+	r.nextSlot = (r.nextSlot + 1) % len(r.recent)
 	return true
 }
 
-// Compare returns what to do after a peer said what it knows. The peer compares
-// too, so that each side sends what the other lacks.
+// Compare returns what to do after a peer sent its summary. The peer makes the
+// same comparison, so that each side obtains what it lacks.
 func (r *Relay) Compare(now time.Time, from string, own, theirs Summary) Gap {
-	x := r.peers[from]
+	state := r.peers[from]
 	var gap Gap
-	if theirs.Generation > own.Generation && now.Sub(x.asked) >= r.cfg.AskEvery {
+	if theirs.Generation > own.Generation && now.Sub(state.rulesAskedAt) >= r.cfg.MinAskInterval {
 		gap.AskRules = true
-		x.asked = now
+		state.rulesAskedAt = now
 	}
-	if theirs.MarksDigest != own.MarksDigest && now.Sub(x.sent) >= r.cfg.MarksEvery {
+	if theirs.MarksDigest != own.MarksDigest && now.Sub(state.marksSentAt) >= r.cfg.MinMarksInterval {
 		gap.SendMarks = true
-		x.sent = now
+		state.marksSentAt = now
 	}
 	if gap != (Gap{}) {
-		r.peers[from] = x
+		r.peers[from] = state
 	}
 	return gap
 }
 
-// Forget drops what is remembered of a peer. It is called for each Hello, so that
-// a peer is asked at once over a new link.
+// Forget discards the state of a peer. It is called for each Hello, so that the
+// minimum intervals do not delay the first requests over a new link.
 func (r *Relay) Forget(peer string) {
 	delete(r.peers, peer)
 }
--- a/internal/peer/news/seed_test.go
+++ b/internal/peer/news/seed_test.go
@@ -2,6 +2,6 @@
 
 import "flag"
 
-// Each run draws the same cases, so that the verdict never changes by itself; a
-// -rapid.seed on the command line comes later and wins.
+// Fixes the seed of the property tests, so that every run draws the same cases. The
+// flag -rapid.seed on the command line is parsed later and overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/internal/peer/news/told.go
+++ b/internal/peer/news/told.go
@@ -5,63 +5,65 @@
 	"slices"
 )
 
-// Generation says which generation of the rules a gateway VM has in force.
+// Generation states which generation of the rules a gateway VM has in force.
 type Generation struct {
 	// Name is the name of the VM.
 	Name string
-	// Generation is the generation in force there.
+	// Generation is the generation in force on the VM.
 	Generation int64
 }
 
-// Told keeps which generation each gateway VM is known to have in force, and what
-// of that is still to be passed on. Of two generations of a VM the higher one
-// stays, so that the order in which they are heard does not matter, and passing
-// on ends when every gateway knows them. It is not safe for concurrent use.
+// Told tracks which generation each gateway VM is known to have in force, and which
+// entries are still to be forwarded. Entries of one VM merge by maximum, so the
+// order of their arrival does not matter, and forwarding ends when every gateway
+// has the same entries. It is not safe for concurrent use.
 type Told struct {
-	known map[string]int64
-	fresh map[string]bool
+	generations map[string]int64
+	pending     map[string]bool
 }
 
-// NewTold returns a Told that knows nothing.
+// NewTold returns a Told without entries.
 func NewTold() *Told {
-	return &Told{known: make(map[string]int64), fresh: make(map[string]bool)}
+	return &Told{generations: make(map[string]int64), pending: make(map[string]bool)}
 }
 
-// Learn takes what was heard of a VM. Generation 0 means that it has none.
+// Learn merges the reported generation of a VM. Generation 0 means that the VM has
+// no rules in force.
 func (t *Told) Learn(name string, generation int64) {
-	if generation > t.known[name] {
-		t.known[name] = generation
-		t.fresh[name] = true
+	if generation > t.generations[name] {
+		t.generations[name] = generation
+		t.pending[name] = true
 	}
 }
 
 // Of returns the generation of a VM, 0 if unknown.
 func (t *Told) Of(name string) int64 {
-	return t.known[name]
+	return t.generations[name]
 }
 
-// Keep forgets the VMs that are not live.
+// Keep removes the VMs for which live returns false.
 func (t *Told) Keep(live func(name string) bool) {
-	for name := range t.known {
+	for name := range t.generations {
 		if !live(name) {
-			delete(t.known, name)
-			delete(t.fresh, name)
+			delete(t.generations, name)
+			delete(t.pending, name)
 		}
 	}
 }
 
-// Fresh returns what was learned since the last call, ordered by name.
+// Fresh returns the entries that changed since the last call, ordered by name.
 func (t *Told) Fresh() []Generation {
-	var out []Generation
-	for name := range t.fresh {
-		out = append(out, Generation{Name: name, Generation: t.known[name]})
+	var changed []Generation
+	for name := range t.pending {
+		changed = append(changed, Generation{Name: name, Generation: t.generations[name]})
 	}
-	clear(t.fresh)
-	slices.SortFunc(out, func(a, b Generation) int { return cmp.Compare(a.Name, b.Name) })
-	return out
+	clear(t.pending)
+	slices.SortFunc(changed, func(a, b Generation) int { return cmp.Compare(a.Name, b.Name) })
+	return changed
 }
 
-// SplitGenerations returns messages that together hold all generations.
+// SplitGenerations divides generations into messages of at most MaxMarks entries
+// each.
 func SplitGenerations(generations []Generation) []Generations {
 	var parts []Generations
 	for part := range slices.Chunk(generations, MaxMarks) {
