--- a/internal/peer/link/bench_test.go
+++ b/internal/peer/link/bench_test.go
@@ -14,8 +14,9 @@
 	"mustardsaddle.example/mustardsaddle/internal/peer/news"
 )
 
-// star starts a hub and n other nodes, and returns a function that links them.
-func star(b *testing.B, n int, timing link.Timing) (*node, []*node, func()) {
+// startStar starts a hub and n leaves, and returns them with a function that links
+// the hub to each leaf.
+func startStar(b *testing.B, n int, timing link.Timing) (*node, []*node, func()) {
 	hub := newNode(b, "gateway-a", "1", timing)
 	var leaves []*node
 	var vms []mustardsaddle.VM
@@ -26,11 +27,11 @@
 	}
 	return hub, leaves, func() {
 		hub.links.SetNeighbors(vms)
-		wait(b, "the links", func() bool { return len(hub.links.Peers()) == n })
+		waitFor(b, "all links to come up", func() bool { return len(hub.links.Peers()) == n })
 	}
 }
 
-func cpu(b *testing.B) time.Duration {
+func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		b.Fatal(err)
@@ -38,7 +39,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func memory() uint64 {
+func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -46,34 +47,35 @@
 	return m.HeapInuse + m.StackInuse
 }
 
-// BenchmarkIdleLink gives what one end of an idle link costs at the default
-// heartbeat: processor time, bytes sent and memory. Both ends run here; nodes
-// without links are subtracted.
+// BenchmarkIdleLink measures the cost of one end of an idle link at the default
+// heartbeat: processor time, bytes sent and memory. Both ends run in this process;
+// the cost of the nodes without links is subtracted.
 func BenchmarkIdleLink(b *testing.B) {
 	const (
-		links = 100
-		span  = 10 * time.Second
+		links    = 100
+		interval = 10 * time.Second
 	)
 	for b.Loop() {
-		hub, _, connect := star(b, links, link.Timing{})
-		empty := memory()
-		began := cpu(b)
-		time.Sleep(span)
-		unlinked := cpu(b) - began
+		hub, _, connect := startStar(b, links, link.Timing{})
+		memoryWithoutLinks := memoryInUse()
+		cpuBefore := cpuTime(b)
+		time.Sleep(interval)
+		cpuWithoutLinks := cpuTime(b) - cpuBefore
 		connect()
-		time.Sleep(span)
-		before, began := hub.links.Stats(), cpu(b)
-		time.Sleep(span)
-		used := cpu(b) - began - unlinked
+		time.Sleep(interval)
+		before, cpuBefore := hub.links.Stats(), cpuTime(b)
+		time.Sleep(interval)
+		cpuUsed := cpuTime(b) - cpuBefore - cpuWithoutLinks
 		after := hub.links.Stats()
-		ends := 2 * links * span.Seconds()
-		b.ReportMetric(float64(used.Microseconds())/ends, "cpu-us/end/s")
-		b.ReportMetric(float64(after.SentBytes-before.SentBytes)/links/span.Seconds(), "bytes/end/s")
-		b.ReportMetric(float64(memory()-empty)/(2*links), "memory-bytes/end")
+		endSeconds := 2 * links * interval.Seconds()
+		b.ReportMetric(float64(cpuUsed.Microseconds())/endSeconds, "cpu-us/end/s")
+		b.ReportMetric(float64(after.SentBytes-before.SentBytes)/links/interval.Seconds(), "bytes/end/s")
+		b.ReportMetric(float64(memoryInUse()-memoryWithoutLinks)/(2*links), "memory-bytes/end")
 	}
 }
 
-// BenchmarkChange gives what one rule change, or one mark, costs on one link.
+// BenchmarkChange measures the bytes and processor time of one rule change, or one
+// mark, on one link.
 func BenchmarkChange(b *testing.B) {
 	const links = 7
 	line := "Path=/rosters Service=Booking Deadline=2s # Mei Lin: members browse rosters"
@@ -82,29 +84,29 @@
 		news.Marks{Marks: []mustardsaddle.Mark{{Name: "booking-07", Incarnation: 1_800_000_000, Leaving: true}}},
 	} {
 		b.Run(strings.TrimPrefix(msg.Type().String(), "Type"), func(b *testing.B) {
-			hub, leaves, connect := star(b, links, link.Timing{Heartbeat: time.Minute})
+			hub, leaves, connect := startStar(b, links, link.Timing{Heartbeat: time.Minute})
 			connect()
-			var got atomic.Int64
+			var received atomic.Int64
 			for _, leaf := range leaves {
 				leaf.mu.Lock()
 				leaf.onMessage = func(m news.Message) {
 					if m.Type() == msg.Type() {
-						got.Add(1)
+						received.Add(1)
 					}
 				}
 				leaf.mu.Unlock()
 			}
-			before, began, n := hub.links.Stats(), cpu(b), int64(0)
+			before, cpuBefore, n := hub.links.Stats(), cpuTime(b), int64(0)
 			for b.Loop() {
 				n++
 				hub.links.Broadcast(msg)
-				for got.Load() < n*links {
+				for received.Load() < n*links {
 					time.Sleep(50 * time.Microsecond)
 				}
 			}
 			after := hub.links.Stats()
 			b.ReportMetric(float64(after.SentBytes-before.SentBytes)/float64(n*links), "bytes/link")
-			b.ReportMetric(float64((cpu(b)-began).Microseconds())/float64(n*links), "cpu-us/link")
+			b.ReportMetric(float64((cpuTime(b)-cpuBefore).Microseconds())/float64(n*links), "cpu-us/link")
 		})
 	}
 }
--- a/internal/peer/link/conn.go
+++ b/internal/peer/link/conn.go
@@ -13,28 +13,28 @@
 	"mustardsaddle.example/mustardsaddle/internal/peer/news"
 )
 
-// link is one established connection to a peer that has introduced itself.
+// link is a connection to a peer after the handshake.
 type link struct {
 	owner *Links
 	hello news.Hello
-	id    identity
+	id    linkID
 	conn  *websocket.Conn
 	queue *queue
-	// last is the time of the last frame, in nanoseconds since 1970.
-	last atomic.Int64
-	// refused is true after the first message that was refused for its format.
-	refused atomic.Bool
+	// lastReceived is the time of the last received frame, in Unix nanoseconds.
+	lastReceived atomic.Int64
+	// formatErrorLogged is true once a message of a newer format has been logged.
+	formatErrorLogged atomic.Bool
 }
 
-// introduce exchanges Hello on a new connection.
-func (l *Links) introduce(ctx context.Context, conn *websocket.Conn, dialed bool) (*link, error) {
+// handshake exchanges Hello messages on a new connection.
+func (l *Links) handshake(ctx context.Context, conn *websocket.Conn, dialed bool) (*link, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.timing.Silence)
 	defer cancel()
 	conn.SetReadLimit(news.MaxBytes)
-	if err := l.write(ctx, conn, news.Hello{VM: l.cfg.Self, Summary: l.cfg.Summary()}); err != nil {
+	if err := l.writeMessage(ctx, conn, news.Hello{VM: l.cfg.Self, Summary: l.cfg.Summary()}); err != nil {
 		return nil, err
 	}
-	msg, _, err := l.read(ctx, conn)
+	msg, _, err := l.readMessage(ctx, conn)
 	if err != nil {
 		return nil, err
 	}
@@ -45,17 +45,17 @@
 	if hello.VM.Name == l.cfg.Self.Name {
 		return nil, code.Errorf(code.PeerBadMessage, "peer has the name of this gateway, %q", hello.VM.Name)
 	}
-	id := identity{incarnation: hello.VM.Incarnation, dialer: hello.VM.Name}
+	id := linkID{incarnation: hello.VM.Incarnation, dialer: hello.VM.Name}
 	if dialed {
 		id.dialer = l.cfg.Self.Name
 	}
-	k := &link{owner: l, hello: hello, id: id, conn: conn, queue: newQueue(l.cfg.Queue, l.cfg.QueueBytes)}
-	k.last.Store(time.Now().UnixNano())
-	return k, nil
+	lk := &link{owner: l, hello: hello, id: id, conn: conn, queue: newQueue(l.cfg.MaxQueuedMessages, l.cfg.MaxQueuedBytes)}
+	lk.lastReceived.Store(time.Now().UnixNano())
+	return lk, nil
 }
 
-// write encodes and sends one message.
-func (l *Links) write(ctx context.Context, conn *websocket.Conn, msg news.Message) error {
+// writeMessage encodes and sends one message.
+func (l *Links) writeMessage(ctx context.Context, conn *websocket.Conn, msg news.Message) error {
 	b, err := l.codec.Encode(msg)
 	if err != nil {
 		return err
@@ -72,9 +72,9 @@
 	return nil
 }
 
-// read receives and decodes one message. Whether a frame came is told even if
-// it does not decode.
-func (l *Links) read(ctx context.Context, conn *websocket.Conn) (news.Message, bool, error) {
+// readMessage receives and decodes one message. It also reports whether a frame was
+// received, which is true even if the frame does not decode.
+func (l *Links) readMessage(ctx context.Context, conn *websocket.Conn) (news.Message, bool, error) {
 	_, b, err := conn.Read(ctx)
 	if err != nil {
 		return nil, false, code.Wrapf(code.PeerUnavailable, err, "read from peer")
@@ -85,41 +85,43 @@
 	return msg, true, err
 }
 
-// serve runs the link until it fails, falls silent, or the context ends.
-func (k *link) serve(ctx context.Context) error {
+// run sends and receives on the link until it fails, nothing is received for
+// Timing.Silence, or the context ends.
+func (lk *link) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	k.owner.cfg.Receive(time.Now(), k.hello.VM.Name, k.hello)
+	lk.owner.cfg.Receive(time.Now(), lk.hello.VM.Name, lk.hello)
 	var receiveErr error
-	received := make(chan struct{})
+	receiverDone := make(chan struct{})
 	go func() {
-		defer close(received)
-		receiveErr = k.receive(ctx)
+		defer close(receiverDone)
+		receiveErr = lk.receiveLoop(ctx)
 	}()
-	err := k.send(ctx, received)
+	err := lk.sendLoop(ctx, receiverDone)
 	cancel()
-	_ = k.conn.CloseNow()
-	<-received
+	_ = lk.conn.CloseNow()
+	<-receiverDone
 	if err == nil {
 		return receiveErr
 	}
 	return err
 }
 
-// send writes heartbeats and what is queued, until the receiver has ended, when
-// it returns nil, or it fails itself. A receiver ends with the context.
-func (k *link) send(ctx context.Context, receiving <-chan struct{}) error {
-	heartbeat := time.NewTicker(k.owner.timing.Heartbeat)
+// sendLoop sends heartbeats and queued messages. It returns an error if a send fails
+// or the link is silent, and nil after the receive loop has ended. The end of the
+// context ends the receive loop, and so this loop too.
+func (lk *link) sendLoop(ctx context.Context, receiverDone <-chan struct{}) error {
+	heartbeat := time.NewTicker(lk.owner.timing.Heartbeat)
 	defer heartbeat.Stop()
 	for {
 		var err error
 		select {
-		case <-receiving:
+		case <-receiverDone:
 			return nil
-		case <-k.queue.wake:
-			err = k.flush(ctx)
+		case <-lk.queue.wake:
+			err = lk.flush(ctx)
 		case now := <-heartbeat.C:
-			err = k.beat(ctx, now)
+			err = lk.sendHeartbeat(ctx, now)
 		}
 		if err != nil {
 			return err
@@ -127,69 +129,71 @@
 	}
 }
 
-// flush sends what is queued.
-func (k *link) flush(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, k.owner.timing.Silence)
+// flush sends the queued messages.
+func (lk *link) flush(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, lk.owner.timing.Silence)
 	defer cancel()
 	for {
-		it, ok := k.queue.take()
+		m, ok := lk.queue.take()
 		if !ok {
 			return nil
 		}
-		if err := k.owner.writeBytes(ctx, k.conn, it.data); err != nil {
+		if err := lk.owner.writeBytes(ctx, lk.conn, m.data); err != nil {
 			return err
 		}
 	}
 }
 
-// beat sends a heartbeat, unless the link has fallen silent.
-func (k *link) beat(ctx context.Context, now time.Time) error {
-	if last := time.Unix(0, k.last.Load()); k.owner.timing.silent(now, last) {
-		event.Warn(k.owner.cfg.Logger, event.LinkSilent).Str("Peer", k.hello.VM.Name).
+// sendHeartbeat sends a heartbeat. It returns an error instead if nothing has been
+// received for Timing.Silence.
+func (lk *link) sendHeartbeat(ctx context.Context, now time.Time) error {
+	if last := time.Unix(0, lk.lastReceived.Load()); lk.owner.timing.isSilent(now, last) {
+		event.Warn(lk.owner.cfg.Logger, event.LinkSilent).Str("Peer", lk.hello.VM.Name).
 			Dur("Silence", now.Sub(last)).Send()
-		k.owner.counts.silent.Add(1)
-		return code.Errorf(code.PeerUnavailable, "link to %s: got nothing for %v", k.hello.VM.Name, now.Sub(last))
+		lk.owner.counts.timedOut.Add(1)
+		return code.Errorf(code.PeerUnavailable, "link to %s: nothing received for %v", lk.hello.VM.Name, now.Sub(last))
 	}
-	ctx, cancel := context.WithTimeout(ctx, k.owner.timing.Silence)
+	ctx, cancel := context.WithTimeout(ctx, lk.owner.timing.Silence)
 	defer cancel()
-	return k.owner.write(ctx, k.conn, news.Heartbeat{Summary: k.owner.cfg.Summary()})
+	return lk.owner.writeMessage(ctx, lk.conn, news.Heartbeat{Summary: lk.owner.cfg.Summary()})
 }
 
-// receive reads until the connection ends. A message of a newer format is
-// refused and the link kept, so that gateways of two versions stay linked; a
-// message that breaks the format ends the link.
-func (k *link) receive(ctx context.Context) error {
+// receiveLoop reads messages until the connection ends. A message of a newer format
+// is rejected but the link stays up, so that gateways of two versions remain
+// connected during an upgrade. A malformed message ends the link.
+func (lk *link) receiveLoop(ctx context.Context) error {
 	for {
-		msg, came, err := k.owner.read(ctx, k.conn)
+		msg, gotFrame, err := lk.owner.readMessage(ctx, lk.conn)
 		now := time.Now()
-		if came {
-			k.last.Store(now.UnixNano())
+		if gotFrame {
+			lk.lastReceived.Store(now.UnixNano())
 		}
 		switch {
 		case code.Of(err) == code.PeerNewerFormat:
-			k.refuseFormat(err)
+			lk.rejectNewerFormat(err)
 		case err != nil:
 			return err
 		case msg.Type() == news.TypeUnknown:
-			event.Warn(k.owner.cfg.Logger, event.PeerMessageUnknown).Str("Peer", k.hello.VM.Name).
+			event.Warn(lk.owner.cfg.Logger, event.PeerMessageUnknown).Str("Peer", lk.hello.VM.Name).
 				Interface("Message", msg).Send()
 		default:
-			k.owner.cfg.Receive(now, k.hello.VM.Name, msg)
+			lk.owner.cfg.Receive(now, lk.hello.VM.Name, msg)
 		}
 	}
 }
 
-// refuseFormat logs the first refusal on this link.
-func (k *link) refuseFormat(err error) {
-	k.owner.counts.refused.Add(1)
-	if k.refused.Swap(true) {
+// rejectNewerFormat counts a message of a newer format, and logs the first one on
+// this link.
+func (lk *link) rejectNewerFormat(err error) {
+	lk.owner.counts.newerFormat.Add(1)
+	if lk.formatErrorLogged.Swap(true) {
 		return
 	}
-	event.Warn(k.owner.cfg.Logger, event.PeerMessageRefused).Str("Peer", k.hello.VM.Name).
+	event.Warn(lk.owner.cfg.Logger, event.PeerMessageRefused).Str("Peer", lk.hello.VM.Name).
 		Int("Code", int(code.Of(err))).Err(err).Send()
 }
 
-// vm returns the peer as it introduced itself.
-func (k *link) vm() mustardsaddle.VM {
-	return k.hello.VM
+// vm returns the peer as described in its Hello.
+func (lk *link) vm() mustardsaddle.VM {
+	return lk.hello.VM
 }
--- a/internal/peer/link/keeper.go
+++ b/internal/peer/link/keeper.go
@@ -12,82 +12,89 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/event"
 )
 
-// keeper is the state of Run, which one goroutine owns.
-type keeper struct {
+// manager is the event loop of Links.Run. Its own fields belong to the goroutine of
+// that loop.
+type manager struct {
 	*Links
 	rng *rand.Rand
-	// neighbors are the wanted links, by the name or address that was wanted.
+	// neighbors holds the peers to which links are kept, by the name, or else the
+	// address, that SetNeighbors was given.
 	neighbors map[string]neighbor
-	// unwanted holds since when a link that this gateway dialled is not wanted.
-	unwanted map[string]time.Time
-	// running counts the goroutines that have not reported their end.
-	running     int
-	established chan established
-	ended       chan ended
+	// unwantedSince holds, by peer name, when a link that this gateway dialed was
+	// first found to lead to a peer that is not a neighbor.
+	unwantedSince map[string]time.Time
+	// goroutines counts the goroutines that have not yet reported their result on
+	// handshakes or linkEnds.
+	goroutines int
+	handshakes chan handshakeResult
+	linkEnds   chan linkEnd
 }
 
-// established is the end of a try to make a link.
-type established struct {
-	// key is the wanted neighbor; empty if the peer dialled.
+// handshakeResult is the outcome of an attempt to establish a link.
+type handshakeResult struct {
+	// key is the key of the neighbor that was dialed; empty if the peer dialed.
 	key  string
 	link *link
 	err  error
-	// done, if set, is closed when the connection is over.
+	// done, if set, is to be closed when the connection has ended.
 	done chan struct{}
 }
 
-// ended is the end of a link.
-type ended struct {
+// linkEnd reports that a link has ended.
+type linkEnd struct {
 	link *link
 	err  error
 	done chan struct{}
 }
 
-func (k *keeper) run(ctx context.Context) error {
-	ticker := time.NewTicker(k.timing.Heartbeat / ticksPerHeartbeat)
+// run handles events until the context ends.
+func (m *manager) run(ctx context.Context) error {
+	ticker := time.NewTicker(m.timing.Heartbeat / ticksPerHeartbeat)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			k.drain()
+			m.awaitGoroutines()
 			return nil
-		case vms := <-k.wanted:
-			k.want(time.Now(), vms)
-			k.tick(ctx, time.Now())
-		case a := <-k.accepted:
-			k.start(func() { k.established <- k.accept(ctx, a) })
-		case e := <-k.established:
-			k.running--
-			k.establish(ctx, time.Now(), e)
-		case e := <-k.ended:
-			k.running--
-			k.end(time.Now(), e)
+		case vms := <-m.neighborUpdates:
+			m.replaceNeighbors(time.Now(), vms)
+			m.tick(ctx, time.Now())
+		case a := <-m.acceptedConns:
+			m.spawn(func() { m.handshakes <- m.accept(ctx, a) })
+		case r := <-m.handshakes:
+			m.goroutines--
+			m.handleHandshake(ctx, time.Now(), r)
+		case e := <-m.linkEnds:
+			m.goroutines--
+			m.handleLinkEnd(time.Now(), e)
 		case now := <-ticker.C:
-			k.tick(ctx, now)
+			m.tick(ctx, now)
 		}
 	}
 }
 
-// start runs f in a goroutine that reports its end on a channel of k.
-func (k *keeper) start(f func()) {
-	k.running++
+// spawn runs f in a goroutine. Before f returns, it must send its result on
+// handshakes or linkEnds.
+func (m *manager) spawn(f func()) {
+	m.goroutines++
 	go f()
 }
 
-// drain waits for the goroutines, whose context has ended.
-func (k *keeper) drain() {
-	for k.running > 0 {
+// awaitGoroutines waits for the goroutines after the context has ended, and closes
+// the connections whose handshake has completed meanwhile.
+func (m *manager) awaitGoroutines() {
+	for m.goroutines > 0 {
 		select {
-		case e := <-k.established:
-			if e.link != nil {
-				_ = e.link.conn.CloseNow()
+		case r := <-m.handshakes:
+			if r.link != nil {
+				_ = r.link.conn.CloseNow()
 			}
-			closeDone(e.done)
-		case e := <-k.ended:
-			k.remove(e.link)
+			closeDone(r.done)
+		case e := <-m.linkEnds:
+			m.removeLink(e.link)
 			closeDone(e.done)
 		}
-		k.running--
+		m.goroutines--
 	}
 }
 
@@ -97,171 +104,176 @@
 	}
 }
 
-// want replaces the neighbors, and keeps the state of those that stay.
-func (k *keeper) want(now time.Time, vms []mustardsaddle.VM) {
+// replaceNeighbors replaces the neighbors. It keeps the state of those that are in
+// both lists.
+func (m *manager) replaceNeighbors(now time.Time, vms []mustardsaddle.VM) {
 	next := make(map[string]neighbor, len(vms))
 	for _, vm := range vms {
 		key := vm.Name
 		if key == "" {
 			key = vm.Peer
 		}
-		n, known := k.neighbors[key]
+		n, known := m.neighbors[key]
 		if !known {
-			n = newNeighbor(now, k.timing, k.cfg.Self.Name, key, vm.Peer)
+			n = newNeighbor(now, m.timing, m.cfg.Self.Name, key, vm.Peer)
 		}
 		n.address = vm.Peer
-		if !n.linked && k.linkTo(n.name) != nil {
+		if !n.linked && m.linkTo(n.name) != nil {
 			n = n.withLink(now)
 		}
 		next[key] = n
 	}
-	k.neighbors = next
+	m.neighbors = next
 }
 
-func (k *keeper) linkTo(name string) *link {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.links[name]
+func (m *manager) linkTo(name string) *link {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.links[name]
 }
 
-// tick dials what is due, reports lost neighbors, and closes unwanted links.
-func (k *keeper) tick(ctx context.Context, now time.Time) {
-	for key, n := range k.neighbors {
+// tick dials the neighbors that are due, reports lost neighbors, and closes
+// unwanted links.
+func (m *manager) tick(ctx context.Context, now time.Time) {
+	for key, n := range m.neighbors {
 		if n.due(now) {
 			n = n.withDialing()
-			k.counts.dials.Add(1)
+			m.counts.dials.Add(1)
 			address := n.address
-			k.start(func() { k.established <- k.dial(ctx, key, address) })
+			m.spawn(func() { m.handshakes <- m.dial(ctx, key, address) })
 		}
-		if n.isLost(now, k.timing) {
-			n.lost = true
-			if k.cfg.Lost != nil {
-				k.cfg.Lost(now, n.name)
+		if n.isLost(now, m.timing) {
+			n.lossReported = true
+			if m.cfg.Lost != nil {
+				m.cfg.Lost(now, n.name)
 			}
 		}
-		k.neighbors[key] = n
+		m.neighbors[key] = n
 	}
-	k.closeUnwanted(now)
+	m.closeUnwanted(now)
 }
 
-// closeUnwanted closes links that this gateway dialled to peers that have not
-// been neighbors for a time. The other end may still want those that it dialled.
-func (k *keeper) closeUnwanted(now time.Time) {
-	wanted := make(map[string]bool, len(k.neighbors))
-	for _, n := range k.neighbors {
+// closeUnwanted closes the links that this gateway dialed to peers that have not
+// been neighbors for unwantedLinkSilences times Timing.Silence. A link that the peer
+// dialed stays up, since this gateway may still be a neighbor of the peer.
+func (m *manager) closeUnwanted(now time.Time) {
+	wanted := make(map[string]bool, len(m.neighbors))
+	for _, n := range m.neighbors {
 		wanted[n.name] = true
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for name, l := range k.links {
-		if wanted[name] || l.id.dialer != k.cfg.Self.Name {
-			delete(k.unwanted, name)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for name, lk := range m.links {
+		if wanted[name] || lk.id.dialer != m.cfg.Self.Name {
+			delete(m.unwantedSince, name)
 			continue
 		}
-		since, known := k.unwanted[name]
+		since, known := m.unwantedSince[name]
 		if !known {
-			k.unwanted[name] = now
+			m.unwantedSince[name] = now
 			continue
 		}
-		if now.Sub(since) >= unwantedSilences*k.timing.Silence {
-			_ = l.conn.CloseNow()
+		if now.Sub(since) >= unwantedLinkSilences*m.timing.Silence {
+			_ = lk.conn.CloseNow()
 		}
 	}
 }
 
-// dial connects to a neighbor on a new connection.
-func (k *keeper) dial(ctx context.Context, key, address string) established {
-	dialing, cancel := context.WithTimeout(ctx, k.timing.Silence)
+// dial opens a connection to a neighbor and performs the handshake.
+func (m *manager) dial(ctx context.Context, key, address string) handshakeResult {
+	dialCtx, cancel := context.WithTimeout(ctx, m.timing.Silence)
 	defer cancel()
-	conn, _, err := websocket.Dial(dialing, "ws://"+address+Path, &websocket.DialOptions{HTTPClient: k.client}) //nolint:bodyclose // Dial closes the body.
+	conn, _, err := websocket.Dial(dialCtx, "ws://"+address+Path, &websocket.DialOptions{HTTPClient: m.client}) //nolint:bodyclose // Dial closes the body.
 	if err != nil {
-		return established{key: key, err: code.Wrapf(code.PeerUnavailable, err, "dial peer %s at %s", key, address)}
+		return handshakeResult{key: key, err: code.Wrapf(code.PeerUnavailable, err, "dial peer %s at %s", key, address)}
 	}
-	l, err := k.introduce(ctx, conn, true)
+	lk, err := m.handshake(ctx, conn, true)
 	if err != nil {
 		_ = conn.CloseNow()
 	}
-	return established{key: key, link: l, err: err}
+	return handshakeResult{key: key, link: lk, err: err}
 }
 
-// accept introduces this gateway to a peer that dialled.
-func (k *keeper) accept(ctx context.Context, a acceptedConn) established {
-	l, err := k.introduce(ctx, a.conn, false)
-	return established{link: l, err: err, done: a.done}
+// accept performs the handshake on a connection that a peer opened.
+func (m *manager) accept(ctx context.Context, a acceptedConn) handshakeResult {
+	lk, err := m.handshake(ctx, a.conn, false)
+	return handshakeResult{link: lk, err: err, done: a.done}
 }
 
-// establish takes a link into use, or drops it for one that is better.
-func (k *keeper) establish(ctx context.Context, now time.Time, e established) {
-	if e.err != nil {
-		event.Warn(k.cfg.Logger, event.LinkFailed).Str("Peer", e.key).Int("Code", int(code.Of(e.err))).Err(e.err).Send()
-		k.update(e.key, func(n neighbor) neighbor { return n.withFailure(now, k.timing, k.rng) })
-		closeDone(e.done)
+// handleHandshake puts a new link into use. If there is a link to the same peer
+// already, linkID.replaces decides which of the two is closed.
+func (m *manager) handleHandshake(ctx context.Context, now time.Time, r handshakeResult) {
+	if r.err != nil {
+		event.Warn(m.cfg.Logger, event.LinkFailed).Str("Peer", r.key).Int("Code", int(code.Of(r.err))).Err(r.err).Send()
+		m.updateNeighbor(r.key, func(n neighbor) neighbor { return n.withFailure(now, m.timing, m.rng) })
+		closeDone(r.done)
 		return
 	}
-	name := e.link.vm().Name
-	k.update(e.key, func(n neighbor) neighbor {
+	name := r.link.vm().Name
+	m.updateNeighbor(r.key, func(n neighbor) neighbor {
 		n.dialing = false
 		n.name = name
 		return n
 	})
-	old := k.linkTo(name)
-	if old != nil && !e.link.id.replaces(old.id) {
-		_ = e.link.conn.CloseNow()
-		k.mark(now, name)
-		closeDone(e.done)
+	old := m.linkTo(name)
+	if old != nil && !r.link.id.replaces(old.id) {
+		_ = r.link.conn.CloseNow()
+		m.markLinked(now, name)
+		closeDone(r.done)
 		return
 	}
 	if old != nil {
 		_ = old.conn.CloseNow()
 	}
-	k.mu.Lock()
-	k.links[name] = e.link
-	k.mu.Unlock()
-	k.mark(now, name)
-	event.Info(k.cfg.Logger, event.LinkUp).Str("Peer", name).Str("Dialer", e.link.id.dialer).Send()
-	k.start(func() { k.ended <- ended{link: e.link, err: e.link.serve(ctx), done: e.done} })
+	m.mu.Lock()
+	m.links[name] = r.link
+	m.mu.Unlock()
+	m.markLinked(now, name)
+	event.Info(m.cfg.Logger, event.LinkUp).Str("Peer", name).Str("Dialer", r.link.id.dialer).Send()
+	m.spawn(func() { m.linkEnds <- linkEnd{link: r.link, err: r.link.run(ctx), done: r.done} })
 }
 
-// update changes the state of a wanted neighbor, if it is still wanted.
-func (k *keeper) update(key string, change func(neighbor) neighbor) {
-	if n, known := k.neighbors[key]; known {
-		k.neighbors[key] = change(n)
+// updateNeighbor changes the state of a neighbor, if it still is one.
+func (m *manager) updateNeighbor(key string, change func(neighbor) neighbor) {
+	if n, known := m.neighbors[key]; known {
+		m.neighbors[key] = change(n)
 	}
 }
 
-// mark notes that there is a link to a peer.
-func (k *keeper) mark(now time.Time, name string) {
-	for key, n := range k.neighbors {
+// markLinked records that a link to a peer is up.
+func (m *manager) markLinked(now time.Time, name string) {
+	for key, n := range m.neighbors {
 		if n.name == name {
-			k.neighbors[key] = n.withLink(now)
+			m.neighbors[key] = n.withLink(now)
 		}
 	}
 }
 
-// end notes that a link ended, unless another one has taken its place.
-func (k *keeper) end(now time.Time, e ended) {
+// handleLinkEnd records that a link has ended, unless another one has replaced it.
+func (m *manager) handleLinkEnd(now time.Time, e linkEnd) {
 	closeDone(e.done)
-	if !k.remove(e.link) {
+	if !m.removeLink(e.link) {
 		return
 	}
 	name := e.link.vm().Name
-	event.Info(k.cfg.Logger, event.LinkDown).Str("Peer", name).Int("Code", int(code.Of(e.err))).Err(e.err).Send()
-	for key, n := range k.neighbors {
+	event.Info(m.cfg.Logger, event.LinkDown).Str("Peer", name).Int("Code", int(code.Of(e.err))).Err(e.err).Send()
+	for key, n := range m.neighbors {
 		if n.name == name {
-			k.neighbors[key] = n.withEnd(now, k.timing, k.rng)
+			m.neighbors[key] = n.withEnd(now, m.timing, m.rng)
 		}
 	}
 }
 
-// remove takes a link out of use. It returns false if the link was replaced.
-func (k *keeper) remove(l *link) bool {
-	name := l.vm().Name
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.links[name] != l {
+// removeLink removes a link from the links in use. It returns false if another link
+// has replaced it.
+func (m *manager) removeLink(lk *link) bool {
+	name := lk.vm().Name
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.links[name] != lk {
 		return false
 	}
-	delete(k.links, name)
-	delete(k.unwanted, name)
+	delete(m.links, name)
+	delete(m.unwantedSince, name)
 	return true
 }
--- a/internal/peer/link/link.go
+++ b/internal/peer/link/link.go
@@ -1,15 +1,15 @@
-// Package link keeps the links between gateways: WebSocket connections that
-// carry CBOR messages of package news.
+// Package link maintains the links between gateways: WebSocket connections that
+// carry the CBOR messages of package news.
 //
-// A link is used by both ends alike, whoever dialled. Each end introduces itself
-// with Hello, then sends a heartbeat at a steady interval. A link on which
-// nothing comes for some heartbeats is closed and dialled anew on a new
-// connection, because an open connection can be silent for good while a new one
-// works. Tries back off with jitter.
+// A link is symmetric, whichever end dialed. Each end sends Hello first, and then
+// heartbeats at a fixed interval. If nothing is received on a link for several
+// heartbeats, the link is closed and dialed again on a new connection, because an
+// established connection can stay silent forever while a new one works. Failed
+// dials are retried with exponential backoff and jitter.
 //
-// Sending never blocks. Each link has a bounded queue; when it is full, the oldest
-// messages go. That is safe because the heartbeats carry a summary of what
-// the sender knows, from which the peer sees that it lacks something and asks.
+// Sending never blocks. Each link has a bounded queue that drops the oldest
+// messages when it is full. Dropping is safe, because each heartbeat carries a
+// summary from which the peer detects what it lacks and then requests it.
 //
 // # Usage
 //
@@ -41,96 +41,102 @@
 	"mustardsaddle.example/mustardsaddle/internal/peer/news"
 )
 
-// Path is where links are accepted on the peer address.
+// Path is the URL path, at the peer address, on which links are accepted.
 const Path = "/peer"
 
-// Config configures Links.
+// Config configures Links. A limit of zero takes its default.
 type Config struct {
 	// Self is this gateway.
 	Self mustardsaddle.VM
-	// Summary returns what this gateway knows. It must not block.
+	// Summary returns the summary of this gateway's state. It must not block.
 	Summary func() news.Summary
-	// Receive takes each message, the Hello of a new link first. Calls for one
-	// link come one after another, calls for different links at the same time. It
-	// may call Send and Broadcast, and must not block: the link waits for it.
+	// Receive is called with each message, beginning with the Hello of a new link.
+	// Calls for one link are sequential, and calls for different links concurrent. It
+	// may call Send and Broadcast, and must not block, since the link reads nothing
+	// meanwhile.
 	Receive func(now time.Time, from string, msg news.Message)
-	// Lost, if set, is told when a neighbor has had no link for Timing.Silence.
-	// The Hello of a later link says that the neighbor is back.
+	// Lost, if set, is called when a neighbor has had no link for Timing.Silence. A
+	// later Hello from the neighbor shows that it is reachable again.
 	Lost func(now time.Time, name string)
-	// Timing decides when links are made and closed.
+	// Timing holds the intervals and timeouts of links.
 	Timing Timing
-	// MaxLinks bounds the connections that others may open.
-	MaxLinks int
-	// Queue is how many messages may wait on a link.
-	Queue int
-	// QueueBytes is how many bytes may wait on a link.
-	QueueBytes int
-	// Seed seeds the jitter.
+	// MaxInboundLinks bounds the connections that peers may open, including those
+	// whose handshake is not complete.
+	MaxInboundLinks int
+	// MaxQueuedMessages is the maximum number of messages in the queue of a link.
+	MaxQueuedMessages int
+	// MaxQueuedBytes is the maximum size, in bytes, of the messages in the queue of a
+	// link. A single message may be larger.
+	MaxQueuedBytes int
+	// Seed seeds the random generator of the backoff jitter.
 	Seed uint64
-	// Logger takes the log events.
+	// Logger receives the log events.
 	Logger zerolog.Logger
 }
 
-// Stats counts what the links have done since the start.
+// Stats holds the number of links that are up, and counters since the start.
 type Stats struct {
 	// Links is the number of links that are up.
 	Links int
-	// SentMessages, SentBytes, ReceivedMessages and ReceivedBytes count what
-	// travelled, without the framing of WebSocket and TCP.
+	// SentMessages, SentBytes, ReceivedMessages and ReceivedBytes count the encoded
+	// messages, without the framing of WebSocket and TCP.
 	SentMessages, SentBytes, ReceivedMessages, ReceivedBytes int64
-	// Dials counts tries to connect.
+	// Dials counts attempts to connect.
 	Dials int64
-	// Silent counts links closed for silence.
-	Silent int64
+	// TimedOut counts links closed because nothing was received for Timing.Silence.
+	TimedOut int64
 	// Dropped counts messages dropped from full queues.
 	Dropped int64
-	// Refused counts messages refused for their format.
-	Refused int64
+	// NewerFormat counts received messages rejected for their newer format.
+	NewerFormat int64
 }
 
 type counters struct {
-	sentMessages, sentBytes, receivedMessages, receivedBytes, dials, silent, dropped, refused atomic.Int64
+	sentMessages, sentBytes, receivedMessages, receivedBytes, dials, timedOut, dropped, newerFormat atomic.Int64
 }
 
-// Links keeps the links of one gateway. It is safe for concurrent use.
+// Links maintains the links of one gateway. It is safe for concurrent use.
 type Links struct {
 	cfg    Config
 	timing Timing
 	codec  *news.Codec
 	client *http.Client
 	counts counters
-	// accepting counts the connections that peers opened, introduced or not.
-	accepting atomic.Int64
+	// inboundConns counts the open connections that peers dialed, including those
+	// whose handshake is not complete.
+	inboundConns atomic.Int64
 
-	// wanted and accepted are read by Run alone; stopped is closed when it ends.
-	wanted   chan []mustardsaddle.VM
-	accepted chan acceptedConn
-	stopped  chan struct{}
+	// Run alone receives from neighborUpdates and acceptedConns, and closes stopped
+	// when it returns.
+	neighborUpdates chan []mustardsaddle.VM
+	acceptedConns   chan acceptedConn
+	stopped         chan struct{}
 
 	mu    sync.Mutex
 	links map[string]*link
 }
 
-// acceptedConn is a connection that a peer opened. Done is closed when it is over.
+// acceptedConn is a connection that a peer opened. The event loop closes done when
+// the connection is no longer in use.
 type acceptedConn struct {
 	conn *websocket.Conn
 	done chan struct{}
 }
 
-// New returns Links without neighbors. Nothing happens before Run.
+// New returns Links without neighbors. It dials and accepts nothing before Run.
 func New(cfg Config) *Links {
-	cfg.MaxLinks = cmp.Or(cfg.MaxLinks, defaultMaxLinks)
-	cfg.Queue = cmp.Or(cfg.Queue, defaultQueue)
-	cfg.QueueBytes = cmp.Or(cfg.QueueBytes, defaultQueueBytes)
+	cfg.MaxInboundLinks = cmp.Or(cfg.MaxInboundLinks, defaultMaxInboundLinks)
+	cfg.MaxQueuedMessages = cmp.Or(cfg.MaxQueuedMessages, defaultMaxQueuedMessages)
+	cfg.MaxQueuedBytes = cmp.Or(cfg.MaxQueuedBytes, defaultMaxQueuedBytes)
 	return &Links{
-		cfg:      cfg,
-		timing:   cfg.Timing.withDefaults(),
-		codec:    news.NewCodec(),
-		client:   &http.Client{Transport: &http.Transport{DisableKeepAlives: true, Proxy: nil}},
-		wanted:   make(chan []mustardsaddle.VM, 1),
-		accepted: make(chan acceptedConn),
-		stopped:  make(chan struct{}),
-		links:    make(map[string]*link),
+		cfg:             cfg,
+		timing:          cfg.Timing.withDefaults(),
+		codec:           news.NewCodec(),
+		client:          &http.Client{Transport: &http.Transport{DisableKeepAlives: true, Proxy: nil}},
+		neighborUpdates: make(chan []mustardsaddle.VM, 1),
+		acceptedConns:   make(chan acceptedConn),
+		stopped:         make(chan struct{}),
+		links:           make(map[string]*link),
 	}
 }
 
@@ -139,10 +145,10 @@
 	r.Handle(Path, l).Methods(http.MethodGet)
 }
 
-// ServeHTTP accepts a link, and returns when it has ended.
+// ServeHTTP accepts a link, and returns when the link has ended.
 func (l *Links) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	defer l.accepting.Add(-1)
-	if l.accepting.Add(1) > int64(l.cfg.MaxLinks) {
+	defer l.inboundConns.Add(-1)
+	if l.inboundConns.Add(1) > int64(l.cfg.MaxInboundLinks) {
 		http.Error(w, "too many links", http.StatusServiceUnavailable)
 		return
 	}
@@ -152,50 +158,52 @@
 	}
 	a := acceptedConn{conn: conn, done: make(chan struct{})}
 	select {
-	case l.accepted <- a:
+	case l.acceptedConns <- a:
 		<-a.done
 	case <-l.stopped:
 	}
 	_ = conn.CloseNow()
 }
 
-// SetNeighbors replaces the VMs to which links are kept. It never blocks. A VM
-// whose name is not known yet, such as one from the settings, may be given by
+// SetNeighbors replaces the VMs to which links are maintained. It never blocks. A
+// VM whose name is not known yet, such as one from the settings, may be given by
 // its peer address alone.
 func (l *Links) SetNeighbors(vms []mustardsaddle.VM) {
 	vms = slices.Clone(vms)
 	for {
 		select {
-		case l.wanted <- vms:
+		case l.neighborUpdates <- vms:
 			return
 		default:
 		}
 		select {
-		case <-l.wanted:
+		case <-l.neighborUpdates:
 		default:
 		}
 	}
 }
 
-// Peers returns the names of the linked peers in order.
+// Peers returns the sorted names of the linked peers.
 func (l *Links) Peers() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Sorted(maps.Keys(l.links))
 }
 
-// Broadcast sends a message to every linked peer.
+// Broadcast queues a message for every linked peer.
 func (l *Links) Broadcast(msg news.Message) {
 	l.SendAll(l.Peers(), msg)
 }
 
-// Send queues a message for a peer. It returns false if there is no link to it.
+// Send queues a message for a peer. It returns false if there is no link to the
+// peer, or the message cannot be encoded.
 func (l *Links) Send(peer string, msg news.Message) bool {
 	return l.SendAll([]string{peer}, msg) == 1
 }
 
-// SendAll queues a message, encoded once, for several peers, and returns to how
-// many there is a link.
+// SendAll encodes a message once and queues it for several peers. It returns the
+// number of peers for which the message is queued: those with a link, or 0 if the
+// message cannot be encoded.
 func (l *Links) SendAll(peers []string, msg news.Message) int {
 	if len(peers) == 0 {
 		return 0
@@ -209,12 +217,12 @@
 	defer l.mu.Unlock()
 	sent := 0
 	for _, peer := range peers {
-		k := l.links[peer]
-		if k == nil {
+		lk := l.links[peer]
+		if lk == nil {
 			continue
 		}
 		sent++
-		if n := k.queue.add(item{kind: msg.Type(), data: data}); n > 0 {
+		if n := lk.queue.add(queuedMessage{msgType: msg.Type(), data: data}); n > 0 {
 			l.counts.dropped.Add(int64(n))
 			event.Warn(l.cfg.Logger, event.PeerNewsDropped).Str("Peer", peer).Int("Messages", n).Send()
 		}
@@ -222,7 +230,7 @@
 	return sent
 }
 
-// Stats returns the counts so far.
+// Stats returns the current number of links and the counters.
 func (l *Links) Stats() Stats {
 	return Stats{
 		Links:            len(l.Peers()),
@@ -231,23 +239,23 @@
 		ReceivedMessages: l.counts.receivedMessages.Load(),
 		ReceivedBytes:    l.counts.receivedBytes.Load(),
 		Dials:            l.counts.dials.Load(),
-		Silent:           l.counts.silent.Load(),
+		TimedOut:         l.counts.timedOut.Load(),
 		Dropped:          l.counts.dropped.Load(),
-		Refused:          l.counts.refused.Load(),
+		NewerFormat:      l.counts.newerFormat.Load(),
 	}
 }
 
-// Run keeps the links until the context ends, then closes them and waits for
-// their goroutines. It is called once.
+// Run maintains the links until the context ends, then closes them and waits for
+// their goroutines. It must be called only once.
 func (l *Links) Run(ctx context.Context) error {
 	defer close(l.stopped)
-	k := &keeper{
-		Links:       l,
-		rng:         rand.New(rand.NewPCG(l.cfg.Seed, uint64(l.cfg.Self.Incarnation))),
-		neighbors:   make(map[string]neighbor),
-		unwanted:    make(map[string]time.Time),
-		established: make(chan established),
-		ended:       make(chan ended),
+	m := &manager{
+		Links:         l,
+		rng:           rand.New(rand.NewPCG(l.cfg.Seed, uint64(l.cfg.Self.Incarnation))),
+		neighbors:     make(map[string]neighbor),
+		unwantedSince: make(map[string]time.Time),
+		handshakes:    make(chan handshakeResult),
+		linkEnds:      make(chan linkEnd),
 	}
-	return k.run(ctx)
+	return m.run(ctx)
 }
--- a/internal/peer/link/link_test.go
+++ b/internal/peer/link/link_test.go
@@ -25,21 +25,22 @@
 	"mustardsaddle.example/mustardsaddle/internal/standin/relay"
 )
 
-// patience bounds waits for what must happen at some time.
-const patience = 20 * time.Second
+// waitTimeout bounds the wait for an event that must happen eventually.
+const waitTimeout = 20 * time.Second
 
-// maxLinks is how many links a node accepts.
-const maxLinks = 20
+// maxInboundLinks is how many inbound links a node accepts.
+const maxInboundLinks = 20
 
-// promise is the time within which a change is in force everywhere.
-const promise = 5 * time.Second
+// maxPropagationTime is the guaranteed time within which a change is in force on all
+// gateways.
+const maxPropagationTime = 5 * time.Second
 
-func quick() link.Timing {
+func fastTiming() link.Timing {
 	return link.Timing{Heartbeat: 100 * time.Millisecond, Silence: 500 * time.Millisecond, MaxBackoff: 200 * time.Millisecond}
 }
 
-// node is a gateway reduced to its links: it applies rule changes by their
-// number, and passes them on.
+// node is a minimal gateway: of the rules it holds only the generation number, which
+// it takes from rule changes, and it forwards the changes.
 type node struct {
 	vm    mustardsaddle.VM
 	links *link.Links
@@ -47,11 +48,11 @@
 
 	mu         sync.Mutex
 	generation int64
-	messages   []news.Message
-	lost       []string
-	// hold, if set, is received from before each message is taken.
-	hold chan struct{}
-	// onMessage, if set, takes the messages instead.
+	received   []news.Message
+	lostPeers  []string
+	// receiveGate, if set, blocks the handling of messages until it is closed.
+	receiveGate chan struct{}
+	// onMessage, if set, handles the messages instead of the node.
 	onMessage func(news.Message)
 }
 
@@ -68,22 +69,22 @@
 	n.relay = news.NewRelay(news.RelayConfig{})
 	n.links = link.New(link.Config{
 		Self: n.vm, Summary: n.summary, Receive: n.receive, Lost: n.onLost, Timing: timing, Logger: zerolog.Nop(),
-		Queue: 16, MaxLinks: maxLinks,
+		MaxQueuedMessages: 16, MaxInboundLinks: maxInboundLinks,
 	})
 	router := mux.NewRouter()
 	n.links.Mount(router)
 	server := &http.Server{Handler: router}
-	served, ended := make(chan error, 1), make(chan error, 1)
+	serveErr, runErr := make(chan error, 1), make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
-	go func() { served <- server.Serve(listener) }()
-	go func() { ended <- n.links.Run(ctx) }()
+	go func() { serveErr <- server.Serve(listener) }()
+	go func() { runErr <- n.links.Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
-		if err := <-ended; err != nil {
+		if err := <-runErr; err != nil {
 			t.Errorf("Run: %v", err)
 		}
 		_ = server.Close()
-		if err := <-served; !errors.Is(err, http.ErrServerClosed) {
+		if err := <-serveErr; !errors.Is(err, http.ErrServerClosed) {
 			t.Errorf("Serve: %v", err)
 		}
 	})
@@ -99,12 +100,12 @@
 func (n *node) onLost(_ time.Time, name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lost = append(n.lost, name)
+	n.lostPeers = append(n.lostPeers, name)
 }
 
 func (n *node) receive(now time.Time, from string, msg news.Message) {
-	if n.hold != nil {
-		<-n.hold
+	if n.receiveGate != nil {
+		<-n.receiveGate
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -112,13 +113,13 @@
 		n.onMessage(msg)
 		return
 	}
-	n.messages = append(n.messages, msg)
+	n.received = append(n.received, msg)
 	switch m := msg.(type) {
 	case news.Hello:
 		n.relay.Forget(from)
-		n.compare(now, from, m.Summary)
+		n.requestMissing(now, from, m.Summary)
 	case news.Heartbeat:
-		n.compare(now, from, m.Summary)
+		n.requestMissing(now, from, m.Summary)
 	case news.AskRules:
 		n.links.Send(from, news.WholeRules{Generation: n.generation})
 	case news.WholeRules:
@@ -129,15 +130,16 @@
 	}
 }
 
-// compare asks a peer that knows more. The caller holds mu.
-func (n *node) compare(now time.Time, from string, theirs news.Summary) {
+// requestMissing requests the rules from a peer that has a newer generation. The
+// caller holds mu.
+func (n *node) requestMissing(now time.Time, from string, theirs news.Summary) {
 	if n.relay.Compare(now, from, news.Summary{Generation: n.generation}, theirs).AskRules {
 		n.links.Send(from, news.AskRules{Have: n.generation})
 	}
 }
 
-// change makes the next generation at n.
-func (n *node) change() {
+// publishChange puts the next generation in force on n, and broadcasts the change.
+func (n *node) publishChange() {
 	n.mu.Lock()
 	m := news.RuleChange{From: n.generation, To: n.generation + 1}
 	n.generation++
@@ -145,128 +147,130 @@
 	n.links.Broadcast(m)
 }
 
-func (n *node) at() int64 {
+func (n *node) currentGeneration() int64 {
 	return n.summary().Generation
 }
 
-func (n *node) count(kind news.Type) int {
+func (n *node) countReceived(msgType news.Type) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	count := 0
-	for _, m := range n.messages {
-		if m.Type() == kind {
+	for _, m := range n.received {
+		if m.Type() == msgType {
 			count++
 		}
 	}
 	return count
 }
 
-func (n *node) linked(peer string) bool {
+func (n *node) isLinked(peer string) bool {
 	return slices.Contains(n.links.Peers(), peer)
 }
 
-// wait polls until the condition holds, and returns how long it took.
-func wait(t testing.TB, what string, ok func() bool) time.Duration {
+// waitFor polls until the condition holds, and returns how long that took.
+func waitFor(t testing.TB, what string, ok func() bool) time.Duration {
 	t.Helper()
 	begin := time.Now()
 	for !ok() {
-		if time.Since(begin) > patience {
-			t.Fatalf("waited %v for %s", patience, what)
+		if time.Since(begin) > waitTimeout {
+			t.Fatalf("timed out after %v waiting for %s", waitTimeout, what)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 	return time.Since(begin)
 }
 
-// newRelay starts a relay to a peer, which ends with the test.
-func newRelay(t testing.TB, target string) *relay.Relay {
-	r, err := relay.New(context.Background(), target)
+// startProxy starts a TCP proxy to a peer, which can inject faults and ends with the
+// test.
+func startProxy(t testing.TB, target string) *relay.Relay {
+	proxy, err := relay.New(context.Background(), target)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.Close)
-	return r
+	t.Cleanup(proxy.Close)
+	return proxy
 }
 
-// pair links a to b through a relay; only a dials.
-func pair(t testing.TB, timing link.Timing) (a, b *node, r *relay.Relay) {
+// startPair starts two nodes and links a to b through a proxy; only a dials.
+func startPair(t testing.TB, timing link.Timing) (a, b *node, proxy *relay.Relay) {
 	a, b = newNode(t, "gateway-a", "1", timing), newNode(t, "gateway-b", "1", timing)
-	r = newRelay(t, b.vm.Peer)
-	a.links.SetNeighbors([]mustardsaddle.VM{{Name: "gateway-b", Peer: r.Address()}})
-	wait(t, "the link", func() bool { return a.linked("gateway-b") && b.linked("gateway-a") })
-	return a, b, r
+	proxy = startProxy(t, b.vm.Peer)
+	a.links.SetNeighbors([]mustardsaddle.VM{{Name: "gateway-b", Peer: proxy.Address()}})
+	waitFor(t, "the link to come up", func() bool { return a.isLinked("gateway-b") && b.isLinked("gateway-a") })
+	return a, b, proxy
 }
 
 func TestSilentLinkIsReplaced(t *testing.T) {
-	convey.Convey("Given a link at the default timing that goes silent, and no other path", t, func() {
-		a, b, r := pair(t, link.Timing{})
-		convey.So(r.Silence(), convey.ShouldEqual, 1)
-		a.change()
-		convey.Convey("A change arrives over a new connection within the promised time", func() {
-			took := wait(t, "the change", func() bool { return b.at() == 1 })
+	convey.Convey("Given two gateways whose only link, at the default timing, stays open but carries no more data", t, func() {
+		a, b, proxy := startPair(t, link.Timing{})
+		convey.So(proxy.Silence(), convey.ShouldEqual, 1)
+		a.publishChange()
+		convey.Convey("A change arrives over a new connection within the maximum propagation time", func() {
+			took := waitFor(t, "the change to be in force", func() bool { return b.currentGeneration() == 1 })
 			t.Logf("in force after %v", took)
-			convey.So(took, convey.ShouldBeLessThan, promise)
-			convey.So(a.links.Stats().Silent+b.links.Stats().Silent, convey.ShouldBeGreaterThanOrEqualTo, 1)
+			convey.So(took, convey.ShouldBeLessThan, maxPropagationTime)
+			convey.So(a.links.Stats().TimedOut+b.links.Stats().TimedOut, convey.ShouldBeGreaterThanOrEqualTo, 1)
 		})
 	})
 }
 
 func TestCutLinkIsReplaced(t *testing.T) {
-	convey.Convey("Given a link that is cut while messages are sent", t, func() {
-		a, b, r := pair(t, quick())
+	convey.Convey("Given a link that is reset while messages are sent, each change still arrives over a new connection", t, func() {
+		a, b, proxy := startPair(t, fastTiming())
 		for range 5 {
-			r.Reset()
-			a.change()
-			wait(t, "the change", func() bool { return b.at() == a.at() })
+			proxy.Reset()
+			a.publishChange()
+			waitFor(t, "the change to be in force", func() bool { return b.currentGeneration() == a.currentGeneration() })
 		}
 		convey.So(a.links.Stats().Dials, convey.ShouldBeGreaterThan, 1)
 	})
 }
 
 func TestLostNeighbor(t *testing.T) {
-	convey.Convey("Given a neighbor whose VM is gone", t, func() {
-		a, _, r := pair(t, quick())
-		r.Close()
-		wait(t, "the loss", func() bool {
+	convey.Convey("Given a neighbor that becomes unreachable, it is reported as lost and not sent to", t, func() {
+		a, _, proxy := startPair(t, fastTiming())
+		proxy.Close()
+		waitFor(t, "the report of the lost neighbor", func() bool {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			return len(a.lost) > 0
+			return len(a.lostPeers) > 0
 		})
-		convey.So(a.lost, convey.ShouldResemble, []string{"gateway-b"})
+		convey.So(a.lostPeers, convey.ShouldResemble, []string{"gateway-b"})
 		convey.So(a.links.Send("gateway-b", news.AskRules{}), convey.ShouldBeFalse)
 	})
 }
 
 func TestSlowReader(t *testing.T) {
-	convey.Convey("Given a peer that takes no message", t, func() {
-		a := newNode(t, "gateway-a", "1", quick())
-		hold := make(chan struct{})
-		b := startNode(t, &node{vm: mustardsaddle.VM{Name: "gateway-b", Incarnation: 1}, hold: hold}, quick())
+	convey.Convey("Given a peer that is blocked while it handles a message", t, func() {
+		a := newNode(t, "gateway-a", "1", fastTiming())
+		receiveGate := make(chan struct{})
+		b := startNode(t, &node{vm: mustardsaddle.VM{Name: "gateway-b", Incarnation: 1}, receiveGate: receiveGate}, fastTiming())
 		released := false
 		release := func() {
 			if !released {
 				released = true
-				close(hold)
+				close(receiveGate)
 			}
 		}
 		defer release()
 		a.links.SetNeighbors([]mustardsaddle.VM{b.vm})
-		wait(t, "the link", func() bool { return a.linked("gateway-b") })
-		convey.Convey("Sending does not block, the queue stays bounded, and the newest rules arrive in the end", func() {
+		waitFor(t, "the link to come up", func() bool { return a.isLinked("gateway-b") })
+		convey.Convey("Sending does not block, the bounded queue drops messages, and the newest rules arrive eventually", func() {
 			text := strings.Repeat("x", 64<<10)
 			for range 2000 {
 				a.links.Broadcast(news.RuleChange{From: 0, To: 1, In: []news.RuleEdit{{Text: text}}})
 			}
 			convey.So(a.links.Stats().Dropped, convey.ShouldBeGreaterThan, 0)
-			a.change()
+			a.publishChange()
 			release()
-			wait(t, "the newest rules", func() bool { return b.at() == a.at() })
+			waitFor(t, "the newest rules to be in force", func() bool { return b.currentGeneration() == a.currentGeneration() })
 		})
 	})
 }
 
-// rawPeer introduces itself to n on a connection of the test's own.
-func rawPeer(t testing.TB, n *node) *websocket.Conn {
+// dialAsPeer dials n as a peer named "raw", performs the handshake, and returns the
+// connection.
+func dialAsPeer(t testing.TB, n *node) *websocket.Conn {
 	conn, _, err := websocket.Dial(context.Background(), "ws://"+n.vm.Peer+link.Path, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -276,32 +280,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	put(t, conn, b)
-	wait(t, "the link", func() bool { return n.linked("raw") })
+	writeRaw(t, conn, b)
+	waitFor(t, "the link to come up", func() bool { return n.isLinked("raw") })
 	return conn
 }
 
-func put(t testing.TB, conn *websocket.Conn, b []byte) {
+func writeRaw(t testing.TB, conn *websocket.Conn, b []byte) {
 	if err := conn.Write(context.Background(), websocket.MessageBinary, b); err != nil {
 		t.Logf("write: %v", err)
 	}
 }
 
 func TestBadMessages(t *testing.T) {
-	timing := link.Timing{Heartbeat: 100 * time.Millisecond, Silence: patience}
-	convey.Convey("Given a link to a peer that sends what it must not", t, func() {
+	timing := link.Timing{Heartbeat: 100 * time.Millisecond, Silence: waitTimeout}
+	convey.Convey("Given a link to a peer that sends invalid messages", t, func() {
 		n := newNode(t, "gateway-a", "1", timing)
-		conn := rawPeer(t, n)
-		convey.Convey("Bad CBOR ends the link, and only this link", func() {
-			put(t, conn, []byte("\x9f\xbf\xff"))
-			wait(t, "the end", func() bool { return !n.linked("raw") })
-			rawPeer(t, n)
+		conn := dialAsPeer(t, n)
+		convey.Convey("Malformed CBOR ends the link, and the peer can connect again", func() {
+			writeRaw(t, conn, []byte("\x9f\xbf\xff"))
+			waitFor(t, "the link to end", func() bool { return !n.isLinked("raw") })
+			dialAsPeer(t, n)
 		})
-		convey.Convey("An oversize message ends the link", func() {
-			put(t, conn, make([]byte, news.MaxBytes+1))
-			wait(t, "the end", func() bool { return !n.linked("raw") })
+		convey.Convey("A message above the size limit ends the link", func() {
+			writeRaw(t, conn, make([]byte, news.MaxBytes+1))
+			waitFor(t, "the link to end", func() bool { return !n.isLinked("raw") })
 		})
-		convey.Convey("A newer format and an unknown type are passed over, and the link stays", func() {
+		convey.Convey("Messages of a newer format or of an unknown type are ignored, and the link stays up", func() {
 			for _, v := range []map[string]any{
 				{"Format": 2, "Type": "RuleChange", "Body": map[string]any{"From": 0, "To": 9}},
 				{"Format": 1, "Type": "Weather", "Body": 1},
@@ -309,84 +313,85 @@
 			} {
 				b, err := cbor.Marshal(v)
 				convey.So(err, convey.ShouldBeNil)
-				put(t, conn, b)
+				writeRaw(t, conn, b)
 			}
-			wait(t, "the change", func() bool { return n.at() == 1 })
-			convey.So(n.linked("raw"), convey.ShouldBeTrue)
-			convey.So(n.links.Stats().Refused, convey.ShouldEqual, 1)
+			waitFor(t, "the change to be in force", func() bool { return n.currentGeneration() == 1 })
+			convey.So(n.isLinked("raw"), convey.ShouldBeTrue)
+			convey.So(n.links.Stats().NewerFormat, convey.ShouldEqual, 1)
 		})
 	})
-	convey.Convey("Given a connection that does not begin with Hello", t, func() {
+	convey.Convey("Given a connection whose first message is not Hello", t, func() {
 		n := newNode(t, "gateway-a", "1", timing)
 		conn, _, err := websocket.Dial(context.Background(), "ws://"+n.vm.Peer+link.Path, nil)
 		convey.So(err, convey.ShouldBeNil)
 		b, err := news.NewCodec().Encode(news.RuleChange{From: 0, To: 1})
 		convey.So(err, convey.ShouldBeNil)
-		put(t, conn, b)
-		convey.Convey("It is closed and nothing of it is used", func() {
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+		writeRaw(t, conn, b)
+		convey.Convey("It is closed, and the message has no effect", func() {
+			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 			defer cancel()
 			for err == nil {
 				_, _, err = conn.Read(ctx)
 			}
 			convey.So(ctx.Err(), convey.ShouldBeNil)
-			convey.So(n.at(), convey.ShouldEqual, 0)
+			convey.So(n.currentGeneration(), convey.ShouldEqual, 0)
 			convey.So(n.links.Peers(), convey.ShouldBeEmpty)
 		})
 	})
 }
 
 func TestTooManyLinks(t *testing.T) {
-	convey.Convey("Given a gateway with as many connections as it takes, none introduced", t, func() {
-		n := newNode(t, "gateway-a", "1", link.Timing{Heartbeat: 100 * time.Millisecond, Silence: patience})
-		for range maxLinks {
+	convey.Convey("Given a gateway with the maximum number of inbound connections, all before the handshake", t, func() {
+		n := newNode(t, "gateway-a", "1", link.Timing{Heartbeat: 100 * time.Millisecond, Silence: waitTimeout})
+		for range maxInboundLinks {
 			conn, _, err := websocket.Dial(context.Background(), "ws://"+n.vm.Peer+link.Path, nil)
 			convey.So(err, convey.ShouldBeNil)
 			t.Cleanup(func() { _ = conn.CloseNow() })
 		}
-		convey.Convey("One more is refused at once, and it can still dial", func() {
+		convey.Convey("One more is refused immediately, and the gateway can still dial", func() {
 			_, resp, err := websocket.Dial(context.Background(), "ws://"+n.vm.Peer+link.Path, nil)
 			convey.So(err, convey.ShouldNotBeNil)
 			convey.So(resp.StatusCode, convey.ShouldEqual, http.StatusServiceUnavailable)
-			b := newNode(t, "gateway-b", "1", quick())
+			b := newNode(t, "gateway-b", "1", fastTiming())
 			n.links.SetNeighbors([]mustardsaddle.VM{b.vm})
-			wait(t, "the link", func() bool { return n.linked("gateway-b") })
+			waitFor(t, "the link to come up", func() bool { return n.isLinked("gateway-b") })
 		})
 	})
 }
 
 func TestBothDial(t *testing.T) {
-	convey.Convey("Given two gateways that dial each other, one by its address alone", t, func() {
-		a, b := newNode(t, "gateway-a", "1", quick()), newNode(t, "gateway-b", "1", quick())
+	convey.Convey("Given two gateways that dial each other, each configured both by address alone and by name", t, func() {
+		a, b := newNode(t, "gateway-a", "1", fastTiming()), newNode(t, "gateway-b", "1", fastTiming())
 		a.links.SetNeighbors([]mustardsaddle.VM{{Peer: b.vm.Peer}, b.vm})
 		b.links.SetNeighbors([]mustardsaddle.VM{{Peer: a.vm.Peer}, a.vm})
-		wait(t, "the link", func() bool { return a.linked("gateway-b") && b.linked("gateway-a") })
-		convey.Convey("One link stays", func() {
+		waitFor(t, "the link to come up", func() bool { return a.isLinked("gateway-b") && b.isLinked("gateway-a") })
+		convey.Convey("They settle on one link and stop dialing", func() {
 			for range 20 {
 				dials := a.links.Stats().Dials + b.links.Stats().Dials
-				from := a.count(news.TypeHeartbeat)
-				wait(t, "heartbeats", func() bool { return a.count(news.TypeHeartbeat) >= from+10 })
+				before := a.countReceived(news.TypeHeartbeat)
+				waitFor(t, "ten heartbeats", func() bool { return a.countReceived(news.TypeHeartbeat) >= before+10 })
 				if a.links.Stats().Dials+b.links.Stats().Dials == dials {
 					return
 				}
 			}
-			t.Fatal("the gateways dial each other again and again")
+			t.Fatal("the gateways keep dialing each other")
 		})
 	})
 }
 
 func TestDroppedNeighborIsClosed(t *testing.T) {
-	convey.Convey("Given a link that is no longer wanted", t, func() {
-		a, b, _ := pair(t, quick())
+	convey.Convey("Given a link to a peer that is no longer a neighbor, both ends close it", t, func() {
+		a, b, _ := startPair(t, fastTiming())
 		a.links.SetNeighbors(nil)
-		wait(t, "the end", func() bool { return !a.linked("gateway-b") && !b.linked("gateway-a") })
+		waitFor(t, "the link to end", func() bool { return !a.isLinked("gateway-b") && !b.isLinked("gateway-a") })
 	})
 }
 
-// mesh starts n nodes with the links that Neighbors gives, each over a relay.
-func mesh(t testing.TB, n int, timing link.Timing) ([]*node, []*relay.Relay) {
+// startMesh starts n nodes with the links that roster.Neighbors selects, each
+// through a proxy.
+func startMesh(t testing.TB, n int, timing link.Timing) ([]*node, []*relay.Relay) {
 	var nodes []*node
-	var relays []*relay.Relay
+	var proxies []*relay.Relay
 	var vms []mustardsaddle.VM
 	for i := range n {
 		nodes = append(nodes, newNode(t, fmt.Sprintf("gateway-%02d", i), fmt.Sprintf("zone-%d", i%3), timing))
@@ -395,34 +400,34 @@
 	for _, from := range nodes {
 		neighbors := roster.Neighbors(vms, from.vm.Name, roster.NeighborConfig{})
 		for i, to := range neighbors {
-			r := newRelay(t, to.Peer)
-			relays = append(relays, r)
-			neighbors[i].Peer = r.Address()
+			proxy := startProxy(t, to.Peer)
+			proxies = append(proxies, proxy)
+			neighbors[i].Peer = proxy.Address()
 		}
 		from.links.SetNeighbors(neighbors)
 	}
 	for _, from := range nodes {
 		want := len(roster.Neighbors(vms, from.vm.Name, roster.NeighborConfig{}))
-		wait(t, "the mesh", func() bool { return len(from.links.Peers()) == want })
+		waitFor(t, "all links to come up", func() bool { return len(from.links.Peers()) == want })
 	}
-	return nodes, relays
+	return nodes, proxies
 }
 
 func TestSeventeenGatewaysConverge(t *testing.T) {
-	convey.Convey("Given seventeen gateways at the default timing, one link silent and one cut", t, func() {
-		nodes, relays := mesh(t, 17, link.Timing{})
-		silent := slices.IndexFunc(relays, func(r *relay.Relay) bool { return r.Silence() > 0 })
-		relays[(silent+7)%len(relays)].Reset()
-		convey.Convey("Changes from several gateways are in force on all within the promised time", func() {
+	convey.Convey("Given seventeen gateways at the default timing, one silent link and one that is reset", t, func() {
+		nodes, proxies := startMesh(t, 17, link.Timing{})
+		silent := slices.IndexFunc(proxies, func(proxy *relay.Relay) bool { return proxy.Silence() > 0 })
+		proxies[(silent+7)%len(proxies)].Reset()
+		convey.Convey("Changes from several gateways are in force on all within the maximum propagation time", func() {
 			for i := range 3 {
 				begin := time.Now()
-				nodes[5*i].change()
+				nodes[5*i].publishChange()
 				for _, n := range nodes {
-					wait(t, "the change", func() bool { return n.at() == int64(i+1) })
+					waitFor(t, "the change to be in force", func() bool { return n.currentGeneration() == int64(i+1) })
 				}
 				took := time.Since(begin)
 				t.Logf("change %d in force on all after %v", i+1, took)
-				convey.So(took, convey.ShouldBeLessThan, promise)
+				convey.So(took, convey.ShouldBeLessThan, maxPropagationTime)
 			}
 		})
 	})
--- a/internal/peer/link/queue.go
+++ b/internal/peer/link/queue.go
@@ -6,40 +6,43 @@
 	"mustardsaddle.example/mustardsaddle/internal/peer/news"
 )
 
-// item is an encoded message that waits to be sent.
-type item struct {
-	kind news.Type
-	data []byte
+// queuedMessage is an encoded message that is to be sent.
+type queuedMessage struct {
+	msgType news.Type
+	data    []byte
 }
 
-// queue holds the messages that wait on one link. It never blocks: when it is
-// full, the oldest go, which the summary in the next heartbeat makes good.
+// queue is the bounded send queue of a link. It never blocks: when it is full, it
+// drops the oldest messages. The peer detects the loss from the summary in the next
+// heartbeat.
 type queue struct {
-	maxItems int
-	maxBytes int
-	wake     chan struct{}
+	maxMessages int
+	maxBytes    int
+	// wake signals that a message has been added.
+	wake chan struct{}
 
-	mu    sync.Mutex
-	items []item
-	bytes int
+	mu       sync.Mutex
+	messages []queuedMessage
+	bytes    int
 }
 
-func newQueue(maxItems, maxBytes int) *queue {
-	return &queue{maxItems: maxItems, maxBytes: maxBytes, wake: make(chan struct{}, 1)}
+func newQueue(maxMessages, maxBytes int) *queue {
+	return &queue{maxMessages: maxMessages, maxBytes: maxBytes, wake: make(chan struct{}, 1)}
 }
 
-// add appends a message and returns how many messages were dropped for it. A
-// whole rules file supersedes the rules that wait.
-func (q *queue) add(it item) int {
+// add appends a message, and returns how many messages were dropped because the
+// queue was full. A complete rules file supersedes the queued rules messages, which
+// are removed and not counted as dropped.
+func (q *queue) add(m queuedMessage) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if it.kind == news.TypeWholeRules {
+	if m.msgType == news.TypeWholeRules {
 		q.removeRules()
 	}
-	q.items = append(q.items, it)
-	q.bytes += len(it.data)
+	q.messages = append(q.messages, m)
+	q.bytes += len(m.data)
 	dropped := 0
-	for len(q.items) > 1 && (len(q.items) > q.maxItems || q.bytes > q.maxBytes) {
+	for len(q.messages) > 1 && (len(q.messages) > q.maxMessages || q.bytes > q.maxBytes) {
 		q.pop()
 		dropped++
 	}
@@ -50,35 +53,37 @@
 	return dropped
 }
 
-// removeRules takes the waiting rules out. The caller holds mu.
+// removeRules removes the queued rules messages. The caller holds mu.
 func (q *queue) removeRules() {
-	kept := q.items[:0]
-	for _, it := range q.items {
-		if it.kind == news.TypeWholeRules || it.kind == news.TypeRuleChange {
-			q.bytes -= len(it.data)
+	kept := q.messages[:0]
+	for _, m := range q.messages {
+		if m.msgType == news.TypeWholeRules || m.msgType == news.TypeRuleChange {
+			q.bytes -= len(m.data)
 			continue
 		}
-		kept = append(kept, it)
+		kept = append(kept, m)
 	}
-	clear(q.items[len(kept):])
-	q.items = kept
+	clear(q.messages[len(kept):])
+	q.messages = kept
 }
 
-// take removes the oldest message.
-func (q *queue) take() (item, bool) {
+// take removes and returns the oldest message. It returns false if the queue is
+// empty.
+func (q *queue) take() (queuedMessage, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.items) == 0 {
-		return item{}, false
+	if len(q.messages) == 0 {
+		return queuedMessage{}, false
 	}
 	return q.pop(), true
 }
 
-// pop removes the oldest message. The caller holds mu and knows that there is one.
-func (q *queue) pop() item {
-	it := q.items[0]
-	q.items[0] = item{}
-	q.items = q.items[1:]
-	q.bytes -= len(it.data)
-	return it
+// pop removes and returns the oldest message. The caller holds mu and ensures that
+// the queue is not empty.
+func (q *queue) pop() queuedMessage {
+	m := q.messages[0]
+	q.messages[0] = queuedMessage{}
+	q.messages = q.messages[1:]
+	q.bytes -= len(m.data)
+	return m
 }
