--- a/internal/product/instance/call_test.go
+++ b/internal/product/instance/call_test.go
@@ -18,32 +18,32 @@
 	"mustardsaddle.example/mustardsaddle/internal/standin/platform"
 )
 
-// A surge of ten times the calls sends no more probes than agreed: the servers'
-// own counts are the judge.
+// A tenfold increase of calls must not raise the number of probes above the configured
+// rate. The probes are counted by the servers.
 func TestSurgeKeepsTheMeasuringBudget(t *testing.T) {
 	const (
-		agreed    = 10.0 // probes a second of each gateway
-		burst     = 0.25 // seconds for which unspent probes are kept
-		usual     = 100  // calls
-		surge     = 10 * usual
-		callers   = 20
-		leastTime = 3 * time.Second
+		rate    = 10.0 // probes per second of each gateway
+		burst   = 0.25 // seconds for which unused probe tokens accumulate
+		normal  = 100  // calls
+		surge   = 10 * normal
+		callers = 20
+		minTime = 3 * time.Second
 	)
-	s := newSystem(t, 3)
-	s.change = func(cfg *settings.Settings) {
-		cfg.Measuring.MessagesPerSecond, cfg.Measuring.ServerPerSecond = agreed, 1000
+	s := newCluster(t, 3)
+	s.configure = func(cfg *settings.Settings) {
+		cfg.Measuring.MessagesPerSecond, cfg.Measuring.ServerPerSecond = rate, 1000
 	}
-	begun := time.Now()
+	start := time.Now()
 	gateways := s.startReady("gateway-1", "gateway-2")
 	call := func(i int) { get(t, "http://"+gateways[i%2].addresses.Callers+"/rosters") }
-	for i := range usual {
+	for i := range normal {
 		call(i)
 	}
 	var group sync.WaitGroup
 	var calls atomic.Int64
 	for range callers {
 		group.Go(func() {
-			for calls.Load() < surge || time.Since(begun) < leastTime {
+			for calls.Load() < surge || time.Since(start) < minTime {
 				call(int(calls.Add(1)))
 			}
 		})
@@ -53,57 +53,57 @@
 	for _, e := range s.servers {
 		probes += e.Count().Probes
 	}
-	seconds := time.Since(begun).Seconds()
-	limit := float64(len(gateways)) * agreed * (seconds + burst)
-	t.Logf("%d calls, %d probes in %.1f s, agreed %.0f", usual+calls.Load(), probes, seconds, limit)
+	seconds := time.Since(start).Seconds()
+	limit := float64(len(gateways)) * rate * (seconds + burst)
+	t.Logf("%d calls, %d probes in %.1f s, limit %.0f", normal+calls.Load(), probes, seconds, limit)
 	if float64(probes) > limit {
 		t.Errorf("got %d probes in %.1f s, want at most %.0f", probes, seconds, limit)
 	}
 	if probes == 0 {
-		t.Error("got no probe")
+		t.Error("got no probes, want some")
 	}
 }
 
-// A stop with calls waiting and hedges in flight cuts none: each caller has a
-// whole answer.
+// A graceful stop with queued calls and hedges in flight aborts none of them: each
+// caller receives a complete response.
 func TestStopWithQueuedAndHedgedCalls(t *testing.T) {
 	const (
-		first   = 2  // calls that are hedged
-		callers = 24 // calls that come after them, more than the servers take
+		first   = 2  // calls that get a hedge
+		callers = 24 // later calls, more than the servers have slots for
 		rule    = "Path=/held Service=Booking Deadline=15s # Mei Lin: members wait\n"
 	)
-	s := newSystem(t, 0)
-	s.change = func(cfg *settings.Settings) { cfg.Retry.HedgeShare, cfg.Retry.RetryShare = 1, 1 }
+	s := newCluster(t, 0)
+	s.configure = func(cfg *settings.Settings) { cfg.Retry.HedgeShare, cfg.Retry.RetryShare = 1, 1 }
 	release := make(chan struct{})
 	var arrived atomic.Int64
 	for i := range 3 {
-		s.addHost(fmt.Sprintf("booking-%02d", i), held(release, &arrived))
+		s.startServer(fmt.Sprintf("booking-%02d", i), blockingHandler(release, &arrived))
 	}
-	s.submit(firstRules + rule)
+	s.submit(initialRules + rule)
 	g := s.addGateway("gateway-1")
-	eventually(t, patience, "a ready gateway", func() bool { return g.ready(t) })
+	eventually(t, waitTimeout, "gateway ready", func() bool { return g.ready(t) })
 	url := "http://" + g.addresses.Callers
 	for range 100 {
 		get(t, url+"/rosters")
 	}
-	ends := make(chan error, first+callers)
+	results := make(chan error, first+callers)
 	for range first {
-		go func() { ends <- answered(url + "/held") }()
+		go func() { results <- checkResponse(url + "/held") }()
 	}
-	eventually(t, patience, "a hedge", func() bool { return arrived.Load() > first })
+	eventually(t, waitTimeout, "hedge in flight", func() bool { return arrived.Load() > first })
 	for range callers {
-		go func() { ends <- answered(url + "/held") }()
+		go func() { results <- checkResponse(url + "/held") }()
 	}
-	flight := fmt.Sprintf("Mustardsaddle_InFlight %d\n", cap(ends))
-	eventually(t, patience, "calls in flight", func() bool {
+	inFlight := fmt.Sprintf("Mustardsaddle_InFlight %d\n", cap(results))
+	eventually(t, waitTimeout, "calls in flight", func() bool {
 		_, text := get(t, "http://"+g.addresses.Admin+"/metrics")
-		return strings.Contains(text, flight)
+		return strings.Contains(text, inFlight)
 	})
-	if n := arrived.Load(); n >= int64(cap(ends)) {
-		t.Fatalf("got %d attempts, want some of the %d calls to wait", n, cap(ends))
+	if n := arrived.Load(); n >= int64(cap(results)) {
+		t.Fatalf("got %d attempts, want fewer than the %d calls, with the rest queued", n, cap(results))
 	}
 	g.stop()
-	eventually(t, patience, "the end of the lag", func() bool {
+	eventually(t, waitTimeout, "listener closed after the lag", func() bool {
 		c, err := net.Dial("tcp", g.addresses.Callers)
 		if err == nil {
 			_ = c.Close()
@@ -111,65 +111,65 @@
 		return err != nil
 	})
 	close(release)
-	for range cap(ends) {
-		if err := <-ends; err != nil {
+	for range cap(results) {
+		if err := <-results; err != nil {
 			t.Error(err)
 		}
 	}
-	if err := g.end(); err != nil {
-		t.Errorf("the stop: got %v, want nothing cut", err)
+	if err := g.wait(); err != nil {
+		t.Errorf("graceful stop: got error %v, want none", err)
 	}
 }
 
-// A server that dies during a stop costs no caller of an idempotent call its
-// answer: another server gives it.
+// If a server dies during a graceful stop, idempotent calls on it are retried on
+// another server, so that every caller still receives a complete response.
 func TestStopWhileAServerDies(t *testing.T) {
 	const callers = 6
-	s := newSystem(t, 0)
-	s.change = func(cfg *settings.Settings) {
+	s := newCluster(t, 0)
+	s.configure = func(cfg *settings.Settings) {
 		cfg.Retry.HedgeShare, cfg.Retry.RetryShare = 0, 1
 		cfg.Stop.Lag = time.Second
 	}
 	release := make(chan struct{})
 	var arrived [3]atomic.Int64
 	for i := range arrived {
-		s.addHost(fmt.Sprintf("booking-%02d", i), held(release, &arrived[i]))
+		s.startServer(fmt.Sprintf("booking-%02d", i), blockingHandler(release, &arrived[i]))
 	}
-	s.submit(firstRules + "Path=/held Service=Booking Deadline=15s # Mei Lin: members wait\n")
+	s.submit(initialRules + "Path=/held Service=Booking Deadline=15s # Mei Lin: members wait\n")
 	g := s.addGateway("gateway-1")
-	eventually(t, patience, "a ready gateway", func() bool { return g.ready(t) })
+	eventually(t, waitTimeout, "gateway ready", func() bool { return g.ready(t) })
 	url := "http://" + g.addresses.Callers
 	for range 100 {
 		get(t, url+"/rosters")
 	}
-	ends := make(chan error, callers)
+	results := make(chan error, callers)
 	for range callers {
-		go func() { ends <- answered(url + "/held") }()
+		go func() { results <- checkResponse(url + "/held") }()
 	}
 	total := func() int64 { return arrived[0].Load() + arrived[1].Load() + arrived[2].Load() }
-	eventually(t, patience, "all calls at servers", func() bool { return total() == callers })
-	dies := 0
-	for arrived[dies].Load() == 0 {
-		dies++
+	eventually(t, waitTimeout, "all calls have reached servers", func() bool { return total() == callers })
+	victim := 0
+	for arrived[victim].Load() == 0 {
+		victim++
 	}
 	g.stop()
-	eventually(t, patience, "the stop", func() bool { return !g.ready(t) })
-	s.kill(dies)
-	eventually(t, patience, "calls at other servers", func() bool { return total() > callers })
+	eventually(t, waitTimeout, "gateway not ready while it stops", func() bool { return !g.ready(t) })
+	s.killServer(victim)
+	eventually(t, waitTimeout, "retries have reached other servers", func() bool { return total() > callers })
 	close(release)
 	for range callers {
-		if err := <-ends; err != nil {
+		if err := <-results; err != nil {
 			t.Error(err)
 		}
 	}
-	if err := g.end(); err != nil {
-		t.Errorf("the stop: got %v, want nothing cut", err)
+	if err := g.wait(); err != nil {
+		t.Errorf("graceful stop: got error %v, want none", err)
 	}
 }
 
-// held returns an endpoint server that holds the calls of /held until they are
-// released, and counts them.
-func held(release <-chan struct{}, arrived *atomic.Int64) http.Handler {
+// blockingHandler returns the handler of an endpoint server that counts the requests
+// for /held and blocks them until release is closed.
+func blockingHandler(release <-chan struct{}, arrived *atomic.Int64) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(report.Header, report.Format(0, 2, false))
 		if r.URL.Path == "/held" {
@@ -180,37 +180,37 @@
 				return
 			}
 		}
-		_, _ = io.WriteString(w, wholeAnswer)
+		_, _ = io.WriteString(w, completeBody)
 	})
 }
 
-// wholeAnswer is the answer of a server that held a call.
-var wholeAnswer = strings.Repeat("whole ", 1000)
+// completeBody is the response body of the handler that blockingHandler returns.
+var completeBody = strings.Repeat("whole ", 1000)
 
-// answered makes a call on a connection of its own, and returns nil for a whole
-// answer of a server.
-func answered(url string) error {
-	client := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+// checkResponse sends a request on a new connection, and returns an error unless the
+// response is complete.
+func checkResponse(url string) error {
+	client := http.Client{Timeout: waitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get(url)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	if err != nil || resp.StatusCode != http.StatusOK || string(body) != wholeAnswer {
-		return fmt.Errorf("got status %d %.60s, %w, want a whole answer", resp.StatusCode, body, err)
+	if err != nil || resp.StatusCode != http.StatusOK || string(body) != completeBody {
+		return fmt.Errorf("got status %d, body %.60q, error %w, want 200 and a complete response", resp.StatusCode, body, err)
 	}
 	return nil
 }
 
-// A body that stands still is cut visibly, or answered with a code while none of it
-// has been passed on; one that only comes slowly is whole although it takes longer
-// than the deadline.
+// A response body that stalls is cut off so that the caller sees an error, or replaced
+// by an error response if none of it has been forwarded yet. A body that is only slow
+// arrives complete even if it takes longer than the deadline.
 func TestBodyThatStandsStill(t *testing.T) {
 	const steps, part = 30, 8 << 10
-	s := newSystem(t, 0)
-	s.change = func(cfg *settings.Settings) { cfg.Limits.Progress = time.Second }
-	s.addHost("booking-00", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s := newCluster(t, 0)
+	s.configure = func(cfg *settings.Settings) { cfg.Limits.Progress = time.Second }
+	s.startServer("booking-00", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(report.Header, report.Format(0, 2, false))
 		if r.URL.Path != "/videos" {
 			return
@@ -227,81 +227,80 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 	}))
-	s.submit(firstRules + "Path=/videos Service=Booking Deadline=1s # Mei Lin: members watch videos\n")
+	s.submit(initialRules + "Path=/videos Service=Booking Deadline=1s # Mei Lin: members watch videos\n")
 	g := s.addGateway("gateway-1")
-	eventually(t, patience, "a ready gateway", func() bool { return g.ready(t) })
+	eventually(t, waitTimeout, "gateway ready", func() bool { return g.ready(t) })
 	url := fmt.Sprintf("http://%s/videos?Part=%d", g.addresses.Callers, part)
 	if status, body := get(t, url); status != http.StatusOK || len(body) != steps*part {
-		t.Errorf("a slow body: got status %d and %d bytes, want 200 and %d", status, len(body), steps*part)
+		t.Errorf("slow body: got status %d and %d bytes, want 200 and %d", status, len(body), steps*part)
 	}
-	resp, err := caller().Get(url + "&Still")
+	resp, err := newClient().Get(url + "&Still")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if n, err := io.Copy(io.Discard, resp.Body); err == nil || os.IsTimeout(err) || n > steps/2*part {
-		t.Errorf("a body that stands still: got %d bytes, %v, want a cut after at most %d", n, err, steps/2*part)
+		t.Errorf("stalled body: got %d bytes, error %v, want an error other than a timeout after at most %d bytes", n, err, steps/2*part)
 	}
 	status, body := get(t, "http://"+g.addresses.Callers+"/videos?Part=8&Still")
 	if status != http.StatusBadGateway || body != "Code=4005 Outcome=Unknown\n" {
-		t.Errorf("a small body that stands still: got status %d %q, want 502 and code 4005", status, body)
+		t.Errorf("small stalled body: got status %d, body %q, want 502 and code 4005", status, body)
 	}
 }
 
-// A request that is claimed runs at most once, however often and through whichever
-// gateways its caller sends it, also if each answer of the store's writes is lost.
-// With the store down it is not run.
+// A request that needs a claim runs at most once, no matter how often and through which
+// gateways its caller sends it, even if the responses to all writes to the store are
+// lost. While the store is down it does not run.
 func TestClaimThroughAFaultyStore(t *testing.T) {
 	const orders = "Path=/orders Method=POST Service=Booking Repeat=Claim # Tan: order once\n"
-	s := newSystem(t, 2)
-	s.submit(firstRules + orders)
+	s := newCluster(t, 2)
+	s.submit(initialRules + orders)
 	for _, name := range []string{"gateway-1", "gateway-2"} {
 		g := s.addGateway(name)
-		eventually(t, patience, "a ready gateway", func() bool { return g.ready(t) })
+		eventually(t, waitTimeout, "gateway ready", func() bool { return g.ready(t) })
 	}
 	for _, c := range []struct {
-		key         string
-		fault       platform.Fault
-		least, most int64
+		key              string
+		fault            platform.Fault
+		minRuns, maxRuns int64
 	}{
 		{"store works", platform.Fault{}, 1, 1},
-		{"answers of writes lost", platform.Fault{LoseAnswers: true}, 0, 1},
+		{"responses to writes lost", platform.Fault{LoseAnswers: true}, 0, 1},
 		{"store down", platform.Fault{Down: true}, 0, 0},
 	} {
 		s.platform.SetFault(c.fault)
-		told, executions := s.orderTenTimes(c.key)
-		t.Logf("%s: %d executions, told %v", c.key, executions, told)
-		if executions < c.least || executions > c.most || executions < told["Ran"] {
-			t.Errorf("%s: got %d executions, told %v, want %d to %d", c.key, executions, told, c.least, c.most)
+		outcomes, executions := s.orderTenTimes(c.key)
+		t.Logf("%s: %d executions, outcomes %v", c.key, executions, outcomes)
+		if executions < c.minRuns || executions > c.maxRuns || executions < outcomes["Ran"] {
+			t.Errorf("%s: got %d executions, outcomes %v, want %d to %d", c.key, executions, outcomes, c.minRuns, c.maxRuns)
 		}
-		if c.fault.Down && told["NotRun"] != 10 {
-			t.Errorf("%s: told %v, want NotRun each time", c.key, told)
+		if c.fault.Down && outcomes["NotRun"] != 10 {
+			t.Errorf("%s: got outcomes %v, want 10 times NotRun", c.key, outcomes)
 		}
 	}
 }
 
-// orderTenTimes sends one order ten times at once through two gateways. It returns
-// how many callers were told each outcome of their own attempt, and how often the
-// order was executed.
-func (s *system) orderTenTimes(key string) (told map[string]int64, executions int64) {
-	before := s.ran()
+// orderTenTimes sends the same order ten times concurrently through all gateways. It
+// returns how often each outcome was reported, and how often the order was executed.
+func (s *cluster) orderTenTimes(key string) (outcomes map[string]int64, executions int64) {
+	before := s.executions()
 	var group sync.WaitGroup
-	outcomes := make(chan string, 10)
-	for i := range cap(outcomes) {
-		group.Go(func() { outcomes <- order(s.t, s.gateways[i%len(s.gateways)], key) })
+	results := make(chan string, 10)
+	for i := range cap(results) {
+		group.Go(func() { results <- placeOrder(s.t, s.gateways[i%len(s.gateways)], key) })
 	}
 	group.Wait()
-	close(outcomes)
-	told = make(map[string]int64)
-	for outcome := range outcomes {
-		told[outcome]++
+	close(results)
+	outcomes = make(map[string]int64)
+	for outcome := range results {
+		outcomes[outcome]++
 	}
-	return told, s.ran() - before
+	return outcomes, s.executions() - before
 }
 
-// order sends an order with an idempotency key, and returns the outcome that the
-// caller is told.
-func order(t *testing.T, g *gatewayVM, key string) string {
+// placeOrder sends an order with an idempotency key, and returns the outcome that the
+// response reports: "Claimed" if another call holds the claim, "" after an error.
+func placeOrder(t *testing.T, g *runningGateway, key string) string {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "http://"+g.addresses.Callers+"/orders", strings.NewReader("M1"))
 	if err != nil {
@@ -309,7 +308,7 @@
 		return ""
 	}
 	r.Header.Set("Idempotency-Key", key)
-	resp, err := caller().Do(r)
+	resp, err := newClient().Do(r)
 	if err != nil {
 		t.Error(err)
 		return ""
--- a/internal/product/instance/change.go
+++ b/internal/product/instance/change.go
@@ -5,28 +5,28 @@
 	"mustardsaddle.example/mustardsaddle/internal/peer/news"
 )
 
-// newsOf returns the message that carries a change of the rules.
-func newsOf(c rule.Change) news.RuleChange {
+// changeToMessage converts a change of the rules to a message.
+func changeToMessage(c rule.Change) news.RuleChange {
 	return news.RuleChange{
 		From: c.From, To: c.To, Submission: c.Submission, Digest: c.Digest,
-		Out: convert(c.Out, newsEdit), In: convert(c.In, newsEdit),
+		Out: mapSlice(c.Out, editToMessage), In: mapSlice(c.In, editToMessage),
 	}
 }
 
-// changeOf returns the change that a message carries.
-func changeOf(m news.RuleChange) rule.Change {
+// changeFromMessage converts a message to a change of the rules.
+func changeFromMessage(m news.RuleChange) rule.Change {
 	return rule.Change{
 		From: m.From, To: m.To, Submission: m.Submission, Digest: m.Digest,
-		Out: convert(m.Out, ruleEdit), In: convert(m.In, ruleEdit),
+		Out: mapSlice(m.Out, editFromMessage), In: mapSlice(m.In, editFromMessage),
 	}
 }
 
-func newsEdit(e rule.Edit) news.RuleEdit { return news.RuleEdit(e) }
+func editToMessage(e rule.Edit) news.RuleEdit { return news.RuleEdit(e) }
 
-func ruleEdit(e news.RuleEdit) rule.Edit { return rule.Edit(e) }
+func editFromMessage(e news.RuleEdit) rule.Edit { return rule.Edit(e) }
 
-// convert returns the results of f in order.
-func convert[A, B any](items []A, f func(A) B) []B {
+// mapSlice applies f to each item and returns the results in order.
+func mapSlice[A, B any](items []A, f func(A) B) []B {
 	out := make([]B, len(items))
 	for i, item := range items {
 		out[i] = f(item)
--- a/internal/product/instance/change_test.go
+++ b/internal/product/instance/change_test.go
@@ -11,8 +11,9 @@
 	"mustardsaddle.example/mustardsaddle/internal/standin/platform"
 )
 
-// newest returns the newest version of an object, and how many there are.
-func (s *system) newest(key string) (text string, versions int) {
+// newest returns the newest version of an object in the store, and the number of its
+// versions.
+func (s *cluster) newest(key string) (text string, versions int) {
 	history := s.platform.History(key)
 	if len(history) == 0 {
 		return "", 0
@@ -20,91 +21,93 @@
 	return string(history[len(history)-1]), len(history)
 }
 
-// A write of the accepted rules whose answer is lost accepts a change once, and an
-// operator who repeats a submission changes nothing.
+// If the response to the write of the accepted rules is lost, the change is still
+// accepted exactly once. Submitting the same rules again changes nothing.
 func TestLostAnswerOfAcceptance(t *testing.T) {
-	s := newSystem(t, 1)
+	s := newCluster(t, 1)
 	s.startReady("gateway-1", "gateway-2", "gateway-3")
 	_, before := s.newest(registry.AcceptedKey)
 	s.platform.SetFault(platform.Fault{LoseAnswers: true})
 	const line = "Path=/calendars Service=Booking # Mei Lin: members browse calendars"
-	text := "# Generation 1\n" + firstRules + line + "\n"
+	text := "# Generation 1\n" + initialRules + line + "\n"
 	s.submit(text)
-	s.everywhere(line)
+	s.expectInForce(line)
 	s.submit(text)
-	eventually(t, patience, "the second submission to be handled", func() bool {
-		a, err := rule.ParseAccepted(first(s.newest(registry.AcceptedKey)))
+	eventually(t, waitTimeout, "second submission handled", func() bool {
+		a, err := rule.ParseAccepted(textOnly(s.newest(registry.AcceptedKey)))
 		return err == nil && a.Submission == 3
 	})
 	newest, versions := s.newest(registry.AcceptedKey)
 	a, err := rule.ParseAccepted(newest)
 	if err != nil || a.File.Generation != 2 || len(a.File.Rules()) != 3 || len(a.Refusals) != 0 {
-		t.Errorf("got %v and\n%s\nwant generation 2 with 3 rules and no refusal", err, newest)
+		t.Errorf("got error %v and\n%s\nwant generation 2 with 3 rules and no refusals", err, newest)
 	}
 	if versions != before+2 {
 		t.Errorf("got %d writes of the accepted rules for two submissions, want 2", versions-before)
 	}
 }
 
-func first(text string, _ int) string { return text }
+// textOnly drops the number of versions that newest returns.
+func textOnly(text string, _ int) string { return text }
 
-// Operators who edit the same generation at once keep both edits where the rules
-// differ; where they clash, the first stays and the second is refused with a code
-// that all can read back.
+// If operators edit the same generation concurrently, edits of different rules are
+// merged. Of conflicting edits the first is kept; the second is refused with a code
+// that is published in Rules/InForce.
 func TestRacingOperators(t *testing.T) {
-	s := newSystem(t, 1)
+	s := newCluster(t, 1)
 	s.startReady("gateway-1", "gateway-2", "gateway-3")
 	const (
-		lathe = "Path=/lathes Service=Booking # Mei Lin: members browse lathes"
-		saw   = "Path=/saws Service=Booking # Tan: members browse saws"
-		won   = "Path=/rosters Service=Booking Deadline=3s # Mei Lin: rosters are slow"
-		lost  = "Path=/rosters Service=Booking Deadline=4s # Tan: rosters are slower"
+		lathe   = "Path=/lathes Service=Booking # Mei Lin: members browse lathes"
+		saw     = "Path=/saws Service=Booking # Tan: members browse saws"
+		kept    = "Path=/rosters Service=Booking Deadline=3s # Mei Lin: rosters are slow"
+		refused = "Path=/rosters Service=Booking Deadline=4s # Tan: rosters are slower"
 	)
-	changed := strings.Replace(firstRules, "Path=/rosters Service=Booking Deadline=2s # Mei Lin: members browse rosters", won, 1)
-	clash := strings.Replace(firstRules, "Path=/rosters Service=Booking Deadline=2s # Mei Lin: members browse rosters", lost, 1)
+	changed := strings.Replace(initialRules, "Path=/rosters Service=Booking Deadline=2s # Mei Lin: members browse rosters", kept, 1)
+	conflicting := strings.Replace(initialRules, "Path=/rosters Service=Booking Deadline=2s # Mei Lin: members browse rosters", refused, 1)
 	s.submit("# Generation 1\n" + changed + lathe + "\n")
-	s.submit("# Generation 1\n" + clash)
-	s.submit("# Generation 1\n" + firstRules + saw + "\n")
-	for _, line := range []string{lathe, saw, won} {
-		s.everywhere(line)
+	s.submit("# Generation 1\n" + conflicting)
+	s.submit("# Generation 1\n" + initialRules + saw + "\n")
+	for _, line := range []string{lathe, saw, kept} {
+		s.expectInForce(line)
 	}
 	for _, g := range s.gateways {
-		if g.inForce(t, lost) {
-			t.Errorf("gateway %s: the edit that was refused is in force", g.name)
+		if g.inForce(t, refused) {
+			t.Errorf("gateway %s: got the refused edit in force, want only the first one", g.name)
 		}
 	}
-	eventually(t, patience, "the refusal in "+registry.InForceKey, func() bool {
-		status, err := rule.ParseInForce(first(s.newest(registry.InForceKey)))
+	eventually(t, waitTimeout, "refusal in "+registry.InForceKey, func() bool {
+		status, err := rule.ParseInForce(textOnly(s.newest(registry.InForceKey)))
 		refusals := status.Accepted.Refusals
 		return err == nil && len(refusals) == 1 && refusals[0].Submission == 3 &&
 			refusals[0].Problem.Code == code.RuleConflictChange && len(status.VMs) == len(s.gateways)
 	})
 }
 
-// Gateways that no link joins, with every watch held back, start from the store,
-// take a change in the promised time, and leave a server that leaves alone.
+// Gateways without links, whose watches get no response, still start from the store,
+// put a change in force within inForceLimit, and stop sending requests to a leaving
+// server.
 func TestNoLinksAndSilentWatches(t *testing.T) {
-	s := newSystem(t, 2)
+	s := newCluster(t, 2)
 	s.unlisted = true
 	s.platform.SetFault(platform.Fault{HoldWatches: true})
 	s.startReady("gateway-1", "gateway-2")
 	const line = "Path=/calendars Service=Booking # Mei Lin: members browse calendars"
-	s.submit("# Generation 1\n" + firstRules + line + "\n")
-	s.everywhere(line)
+	s.submit("# Generation 1\n" + initialRules + line + "\n")
+	s.expectInForce(line)
 	call := func() {
 		for _, g := range s.gateways {
 			get(t, "http://"+g.addresses.Callers+"/rosters")
 		}
 	}
-	leaves := s.servers[1]
-	eventually(t, patience, "a call to the server", func() bool { call(); return leaves.Count().Total > 0 })
+	leaving := s.servers[1]
+	eventually(t, waitTimeout, "call to the server", func() bool { call(); return leaving.Count().Total > 0 })
 	s.platform.RemoveMachine(time.Now(), "booking-01")
 	time.Sleep(leavingLimit)
-	before := leaves.Count()
+	before := leaving.Count()
 	for range 100 {
 		call()
 	}
-	if after := leaves.Count(); after.Total != before.Total || after.Shed != before.Shed {
-		t.Errorf("the server that left got %d requests after %s, want 0", after.Total+after.Shed-before.Total-before.Shed, leavingLimit)
+	if after := leaving.Count(); after.Total != before.Total || after.Shed != before.Shed {
+		t.Errorf("server that left: got %d requests later than %s after its removal, want 0", after.Total+after.Shed-before.Total-before.Shed, leavingLimit)
 	}
 }
--- a/internal/product/instance/directory.go
+++ b/internal/product/instance/directory.go
@@ -12,17 +12,17 @@
 	"mustardsaddle.example/mustardsaddle/internal/control/rule"
 )
 
-// newCatalog returns the follower of a directory.
+// newCatalog returns the component that keeps this gateway in step with a directory.
 func (in *instance) newCatalog(d mustardsaddle.Directory, seed uint64) *catalog.Catalog {
 	s := in.cfg.Settings
 	return catalog.New(catalog.Config{
 		Directory: d,
-		InForce:   in.directoryInForce,
+		InForce:   in.applyDirectoryRules,
 		Servers: func(now time.Time, service string, servers []mustardsaddle.Server) {
-			in.gateway.SetServers(now, service, in.complete(service, servers))
+			in.gateway.SetServers(now, service, in.completeServers(service, servers))
 		},
-		Reader: in.reads,
-		Spread: in.spreadListing,
+		Reader: in.isReader,
+		Spread: in.forwardUpdate,
 		Wait:   s.Platform.Watch,
 		Core:   catalog.CoreConfig{Return: s.Platform.Return},
 		Logger: in.cfg.Logger,
@@ -30,36 +30,37 @@
 	})
 }
 
-// directoryInForce puts rules of a directory in force.
-func (in *instance) directoryInForce(t *rule.Table) {
+// applyDirectoryRules puts a rule table from the directory in force.
+func (in *instance) applyDirectoryRules(t *rule.Table) {
 	in.gateway.SetRules(t)
 	in.generation.Store(t.File.Generation)
 }
 
-// complete fills in what neither the list nor the rules state of servers.
-func (in *instance) complete(service string, servers []mustardsaddle.Server) []mustardsaddle.Server {
+// completeServers fills in the fields of servers that the directory leaves out, from
+// the settings of the service.
+func (in *instance) completeServers(service string, servers []mustardsaddle.Server) []mustardsaddle.Server {
 	return in.cfg.Settings.Service(service).Complete(servers)
 }
 
-// newChooser returns the chooser of a service.
+// newChooser returns a chooser with the configured policy, one for each service.
 func (in *instance) newChooser(string) mustardsaddle.Chooser {
 	s := in.cfg.Settings
 	if s.Choice.Policy == settings.PolicySurvey {
 		return survey.New(survey.Config{
-			MaxOut:        orNone(s.Choice.EjectShare),
+			MaxOut:        noneIfZero(s.Choice.EjectShare),
 			ProbeInterval: interval(s.Measuring.ServerPerSecond),
 		})
 	}
 	return bench.New(bench.Config{
-		Policy:        policy(s.Choice.Policy),
-		SlowStart:     orNone(s.Choice.SlowStart),
-		MaxEjected:    orNone(s.Choice.EjectShare),
+		Policy:        policyByName(s.Choice.Policy),
+		SlowStart:     noneIfZero(s.Choice.SlowStart),
+		MaxEjected:    noneIfZero(s.Choice.EjectShare),
 		ProbeInterval: interval(s.Measuring.ServerPerSecond),
 	})
 }
 
-// headers returns the names of headers that the settings state.
-func headers(h settings.Headers) *mustardsaddle.Headers {
+// headerNames returns the header names and formats that the settings configure.
+func headerNames(h settings.Headers) *mustardsaddle.Headers {
 	names := &mustardsaddle.Headers{
 		RequestID: h.RequestID, Deadline: h.Deadline, Instance: h.Instance, Server: h.Server, Load: h.Load, NotRun: h.NotRun,
 		Signature: h.Signature, ParseLoad: report.Parse, FractionalRetryAfter: h.RetryAfter == settings.RetryAfterFractions,
--- a/internal/product/instance/harness_test.go
+++ b/internal/product/instance/harness_test.go
@@ -20,39 +20,40 @@
 	"mustardsaddle.example/mustardsaddle/internal/standin/server"
 )
 
-// patience bounds waits for what has no promised time.
-const patience = 20 * time.Second
+// waitTimeout is the timeout for events without a specified time limit.
+const waitTimeout = 20 * time.Second
 
-const firstRules = `Path=/rosters Service=Booking Deadline=2s # Mei Lin: members browse rosters
+const initialRules = `Path=/rosters Service=Booking Deadline=2s # Mei Lin: members browse rosters
 Path=/bookings Method=POST Service=Booking Deadline=5s Repeat=No # Tan: book a lathe
 `
 
-// system is a platform with endpoint servers and gateways on loopback.
-type system struct {
-	t        *testing.T
-	platform *platform.Platform
-	url      string
-	servers  []*server.Server
-	hosts    []*httptest.Server
-	gateways []*gatewayVM
-	// change, if set, changes the settings of each gateway.
-	change func(*settings.Settings)
+// cluster is a stand-in platform with endpoint servers and gateways on loopback
+// addresses.
+type cluster struct {
+	t           *testing.T
+	platform    *platform.Platform
+	url         string
+	servers     []*server.Server
+	httpServers []*httptest.Server
+	gateways    []*runningGateway
+	// configure, if set, modifies the settings of each gateway before it starts.
+	configure func(*settings.Settings)
 	// unlisted leaves the gateways out of the platform's list, so that they do not
-	// know each other and no link joins them.
+	// know each other and have no links.
 	unlisted bool
 }
 
-// gatewayVM is a running gateway.
-type gatewayVM struct {
+// runningGateway is a running gateway.
+type runningGateway struct {
 	name      string
 	addresses instance.Addresses
 	stop      context.CancelFunc
 	ended     chan error
 }
 
-func newSystem(t *testing.T, servers int) *system {
+func newCluster(t *testing.T, servers int) *cluster {
 	t.Helper()
-	s := &system{t: t, platform: platform.New(platform.Config{})}
+	s := &cluster{t: t, platform: platform.New(platform.Config{})}
 	p := httptest.NewServer(s.platform.Handler())
 	t.Cleanup(p.Close)
 	s.url = p.URL
@@ -62,35 +63,36 @@
 	return s
 }
 
-func (s *system) addServer(name string) *server.Server {
+func (s *cluster) addServer(name string) *server.Server {
 	e := server.New(server.Config{Name: name, Slots: 2, Queue: 2, Work: time.Millisecond})
 	s.servers = append(s.servers, e)
-	s.addHost(name, e.Handler())
+	s.startServer(name, e.Handler())
 	return e
 }
 
-// addHost serves a handler as an endpoint server, and lists it.
-func (s *system) addHost(name string, handler http.Handler) {
+// startServer starts an endpoint server with the given handler and adds it to the
+// platform's list.
+func (s *cluster) startServer(name string, handler http.Handler) {
 	h := httptest.NewServer(handler)
 	s.t.Cleanup(func() {
 		h.CloseClientConnections()
 		h.Close()
 	})
-	s.hosts = append(s.hosts, h)
+	s.httpServers = append(s.httpServers, h)
 	s.platform.SetMachine(time.Now(), mustardsaddle.Machine{
 		Name: name, Incarnation: 1, Zone: "a", Service: "Booking", Slots: 2, Connections: 200,
 		Address: strings.TrimPrefix(h.URL, "http://"),
 	})
 }
 
-// kill ends an endpoint server with all its connections.
-func (s *system) kill(i int) {
-	_ = s.hosts[i].Listener.Close()
-	s.hosts[i].CloseClientConnections()
+// killServer closes the listener and all connections of an endpoint server.
+func (s *cluster) killServer(i int) {
+	_ = s.httpServers[i].Listener.Close()
+	s.httpServers[i].CloseClientConnections()
 }
 
-// ran returns how many executions all endpoint servers have counted.
-func (s *system) ran() int64 {
+// executions returns the total number of executions on all endpoint servers.
+func (s *cluster) executions() int64 {
 	total := int64(0)
 	for _, e := range s.servers {
 		total += e.Count().Total
@@ -98,8 +100,9 @@
 	return total
 }
 
-// addGateway starts a gateway and lists it.
-func (s *system) addGateway(name string, seeds ...string) *gatewayVM {
+// addGateway starts a gateway and, unless unlisted is set, adds it to the platform's
+// list.
+func (s *cluster) addGateway(name string, seeds ...string) *runningGateway {
 	s.t.Helper()
 	cfg := settings.Default()
 	cfg.Gateway = settings.Gateway{Name: name, Zone: "a", Listen: "127.0.0.1:0", Admin: "127.0.0.1:0", Peer: "127.0.0.1:0"}
@@ -112,11 +115,11 @@
 	cfg = cfg.WithService(settings.Service{
 		Name: "Booking", NotRunStatus: http.StatusServiceUnavailable, NotRunHeader: server.NotRunHeader,
 	})
-	if s.change != nil {
-		s.change(&cfg)
+	if s.configure != nil {
+		s.configure(&cfg)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	g := &gatewayVM{name: name, stop: stop, ended: make(chan error, 1)}
+	g := &runningGateway{name: name, stop: stop, ended: make(chan error, 1)}
 	started := make(chan instance.Addresses, 1)
 	go func() {
 		g.ended <- instance.Run(ctx, instance.Config{
@@ -130,7 +133,7 @@
 	}
 	s.t.Cleanup(func() {
 		stop()
-		if err := g.end(); err != nil {
+		if err := g.wait(); err != nil {
 			s.t.Errorf("gateway %s ended: %v", name, err)
 		}
 	})
@@ -141,32 +144,33 @@
 	return g
 }
 
-// end waits for the end of a gateway, and returns its error.
-func (g *gatewayVM) end() error {
+// wait waits until a gateway has ended, and returns its error.
+func (g *runningGateway) wait() error {
 	select {
 	case err, open := <-g.ended:
 		if open {
 			close(g.ended)
 		}
 		return err
-	case <-time.After(patience):
-		return fmt.Errorf("still running after %s", patience)
+	case <-time.After(waitTimeout):
+		return fmt.Errorf("still running after %s", waitTimeout)
 	}
 }
 
-// startReady submits the first rules, starts gateways, and waits until they take calls.
-func (s *system) startReady(names ...string) []*gatewayVM {
+// startReady submits the initial rules, starts gateways, and waits until they are
+// ready.
+func (s *cluster) startReady(names ...string) []*runningGateway {
 	s.t.Helper()
-	s.submit(firstRules)
+	s.submit(initialRules)
 	for _, name := range names {
 		g := s.addGateway(name)
-		eventually(s.t, patience, "ready "+name, func() bool { return g.ready(s.t) })
+		eventually(s.t, waitTimeout, "ready: "+name, func() bool { return g.ready(s.t) })
 	}
 	return s.gateways
 }
 
-// everywhere checks that a rule is in force on every gateway in the promised time.
-func (s *system) everywhere(line string) {
+// expectInForce checks that a rule is in force on every gateway within inForceLimit.
+func (s *cluster) expectInForce(line string) {
 	s.t.Helper()
 	took := eventually(s.t, 2*inForceLimit, "in force: "+line, func() bool {
 		for _, g := range s.gateways {
@@ -177,22 +181,23 @@
 		return true
 	})
 	if took > inForceLimit {
-		s.t.Errorf("%s: in force after %s, want at most %s", line, took, inForceLimit)
+		s.t.Errorf("rule %q took %s to be in force, want at most %s", line, took, inForceLimit)
 	}
 }
 
 // submit writes Rules/Submitted as an operator does.
-func (s *system) submit(text string) {
+func (s *cluster) submit(text string) {
 	s.platform.Put("Rules/Submitted", []byte(text), -1)
 }
 
-// caller is a client that does not wait for ever.
-func caller() *http.Client { return &http.Client{Timeout: patience} }
+// newClient returns an HTTP client with a timeout.
+func newClient() *http.Client { return &http.Client{Timeout: waitTimeout} }
 
-// get returns the status and body of a call.
+// get sends a GET request and returns the status and body of the response, or 0 and the
+// error text.
 func get(t *testing.T, url string) (int, string) {
 	t.Helper()
-	resp, err := caller().Get(url)
+	resp, err := newClient().Get(url)
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -201,8 +206,8 @@
 	return resp.StatusCode, string(body)
 }
 
-// burst makes n calls at a time and waits for their answers.
-func burst(t *testing.T, url string, n int) {
+// getConcurrently sends n concurrent GET requests and waits for the responses.
+func getConcurrently(t *testing.T, url string, n int) {
 	t.Helper()
 	var wg sync.WaitGroup
 	for range n {
@@ -211,27 +216,28 @@
 	wg.Wait()
 }
 
-// ready reports whether a gateway takes calls.
-func (g *gatewayVM) ready(t *testing.T) bool {
+// ready reports whether a gateway is ready for calls.
+func (g *runningGateway) ready(t *testing.T) bool {
 	status, _ := get(t, "http://"+g.addresses.Admin+"/readyz")
 	return status == http.StatusOK
 }
 
 // inForce reports whether the gateway has a rule in force.
-func (g *gatewayVM) inForce(t *testing.T, line string) bool {
+func (g *runningGateway) inForce(t *testing.T, line string) bool {
 	_, text := get(t, "http://"+g.addresses.Admin+"/rules")
 	return strings.Contains(text, line)
 }
 
-// eventually waits until a condition holds, and returns how long it took.
-func eventually(t *testing.T, limit time.Duration, what string, holds func() bool) time.Duration {
+// eventually polls until a condition holds, and returns how long that took. It fails
+// the test if the time limit passes first.
+func eventually(t *testing.T, limit time.Duration, what string, condition func() bool) time.Duration {
 	t.Helper()
-	begun := time.Now()
-	for !holds() {
-		if time.Since(begun) > limit {
-			t.Fatalf("%s: not after %s", what, limit)
+	start := time.Now()
+	for !condition() {
+		if time.Since(start) > limit {
+			t.Fatalf("condition %q does not hold after %s", what, limit)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return time.Since(begun)
+	return time.Since(start)
 }
--- a/internal/product/instance/instance.go
+++ b/internal/product/instance/instance.go
@@ -1,12 +1,13 @@
-// Package instance runs one gateway: it opens the addresses, joins the parts of
-// the request path with those of the control side, and stops gracefully.
+// Package instance runs one gateway process: it opens the listeners, connects the
+// components of the request path with those of the control plane, and shuts down
+// gracefully.
 //
-// The control side only swaps snapshots that the request path reads. While the
-// platform is down the last rules and the last list of VMs stay in use.
+// The control plane only replaces immutable snapshots that the request path reads.
+// While the platform is down, the last rules and the last list of VMs stay in use.
 //
 // # Usage
 //
-//	err := instance.Run(ctx, instance.Config{Settings: s, Logger: logger, Abort: second})
+//	err := instance.Run(ctx, instance.Config{Settings: s, Logger: logger, Abort: abort})
 package instance
 
 import (
@@ -37,8 +38,8 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/gateway"
 )
 
-// firstStorePause and maxStorePause bound the pauses after failed calls to the
-// platform. They are short against the time in which rules have to take force.
+// firstStorePause and maxStorePause bound the backoff after failed calls to the
+// platform. They are short compared with the time limit for putting rules in force.
 const (
 	firstStorePause = 100 * time.Millisecond
 	maxStorePause   = 400 * time.Millisecond
@@ -46,69 +47,71 @@
 
 // Config configures an instance.
 type Config struct {
-	// Settings are the checked settings.
+	// Settings are the validated settings.
 	Settings settings.Settings
-	// Reloads, if set, brings later settings, checked too.
+	// Reloads, if set, delivers new settings, also validated, while the gateway runs.
 	Reloads <-chan settings.Settings
-	// Logger takes the log events.
+	// Logger receives the log events.
 	Logger zerolog.Logger
-	// Abort, if set, ends a graceful stop at once when it is closed.
+	// Abort, if set, ends a graceful shutdown immediately when it is closed.
 	Abort <-chan struct{}
-	// Directory, if set, makes the directory that the rules and the lists of VMs
-	// come from, in place of the platform's store.
+	// Directory, if set, returns the directory that supplies the rules and the lists
+	// of VMs in place of the platform's store.
 	Directory func(*store.Client) mustardsaddle.Directory
-	// Started, if set, is told the open addresses before the first call.
+	// Started, if set, is called with the listen addresses once the servers and the
+	// control plane have started.
 	Started func(Addresses)
 }
 
-// Addresses are the addresses that an instance has opened.
+// Addresses are the addresses that an instance listens on.
 type Addresses struct {
-	// Callers is where callers are served.
+	// Callers is the address for callers.
 	Callers string
-	// Admin is where operators are served.
+	// Admin is the address of the admin pages for operators.
 	Admin string
-	// Peer is where other gateways link.
+	// Peer is the address on which links from other gateways are accepted.
 	Peer string
 }
 
 // instance is one running gateway.
 type instance struct {
-	cfg        Config
-	self       mustardsaddle.VM
-	store      *store.Client
-	gateway    *gateway.Gateway
-	front      *http.Server
-	back       *http.Server
-	side       *http.Server
-	budget     *report.Budget
-	prober     *admission.Prober
-	membership *membership
-	links      *link.Links
-	registry   *registry.Registry
-	// directory and catalog are nil where the gateways agree on rules in a store.
+	cfg          Config
+	self         mustardsaddle.VM
+	store        *store.Client
+	gateway      *gateway.Gateway
+	callerServer *http.Server
+	adminServer  *http.Server
+	peerServer   *http.Server
+	probeBudget  *report.Budget
+	prober       *admission.Prober
+	membership   *membership
+	links        *link.Links
+	registry     *registry.Registry
+	// directory and catalog are nil if the gateways agree on rules through a store;
+	// registry is nil if there is a directory.
 	directory mustardsaddle.Directory
 	catalog   *catalog.Catalog
-	// met is true once the gateways of the directory are known.
-	met        atomic.Bool
-	generation atomic.Int64
-	// pages are the pages of the platform's list that the rules in force need.
+	// gatewaysKnown is true once the list of gateways has been read from the directory.
+	gatewaysKnown atomic.Bool
+	generation    atomic.Int64
+	// pages are the pages of the platform's VM list that the rules in force need.
 	pages    atomic.Pointer[[]string]
 	metrics  *admin.Metrics
 	stopping atomic.Bool
-	// current are the settings in force, of which some parts change with a reload.
+	// current are the settings in force; a reload replaces some sections of them.
 	current atomic.Pointer[settings.Settings]
 
-	// rng is used only by the goroutine that follows the list of VMs.
+	// rng is used only by the goroutine that polls the list of VMs.
 	rng *rand.Rand
 
-	// mu guards relay and told.
-	mu    sync.Mutex
-	relay *news.Relay
-	told  *news.Told
+	// mu guards relay and fleetGenerations.
+	mu               sync.Mutex
+	relay            *news.Relay
+	fleetGenerations *news.Told
 }
 
-// Run serves until the context ends, then stops gracefully. It returns an error
-// with code.StopCut if calls were cut.
+// Run serves until the context ends, then shuts down gracefully. It returns an error
+// with code.StopCut if calls in flight were aborted.
 func Run(ctx context.Context, cfg Config) error {
 	l, err := listen(ctx, cfg.Settings.Gateway)
 	if err != nil {
@@ -121,7 +124,7 @@
 	return newInstance(time.Now(), cfg, peer).run(ctx, l)
 }
 
-// newInstance joins the parts of a gateway that others reach at the peer address.
+// newInstance assembles a gateway that other gateways reach at the given peer address.
 func newInstance(now time.Time, cfg Config, peer string) *instance {
 	s := cfg.Settings
 	incarnation := s.Gateway.Incarnation
@@ -130,12 +133,12 @@
 	}
 	seed := uint64(now.UnixNano())
 	in := &instance{
-		cfg:     cfg,
-		self:    mustardsaddle.VM{Name: s.Gateway.Name, Incarnation: incarnation, Zone: s.Gateway.Zone, Peer: peer},
-		metrics: admin.NewMetrics(admin.MetricsConfig{}),
-		relay:   news.NewRelay(news.RelayConfig{}),
-		told:    news.NewTold(),
-		rng:     rand.New(rand.NewPCG(seed, 1)),
+		cfg:              cfg,
+		self:             mustardsaddle.VM{Name: s.Gateway.Name, Incarnation: incarnation, Zone: s.Gateway.Zone, Peer: peer},
+		metrics:          admin.NewMetrics(admin.MetricsConfig{}),
+		relay:            news.NewRelay(news.RelayConfig{}),
+		fleetGenerations: news.NewTold(),
+		rng:              rand.New(rand.NewPCG(seed, 1)),
 	}
 	in.current.Store(&s)
 	in.store = store.New(store.Config{
@@ -145,9 +148,9 @@
 		Backoff: store.Backoff{Base: firstStorePause, Max: maxStorePause},
 		Seed:    seed,
 	})
-	in.budget = report.NewBudget(measuringRates(s))
+	in.probeBudget = report.NewBudget(probeRates(s))
 	in.gateway = in.newGateway(seed)
-	in.prober = admission.NewProber(admission.ProberConfig{Lanes: in.gateway.Lanes(), Budget: in.budget})
+	in.prober = admission.NewProber(admission.ProberConfig{Lanes: in.gateway.Lanes(), Budget: in.probeBudget})
 	in.membership = newMembership(in.rosterChanged)
 	in.links = in.newLinks(seed)
 	if cfg.Directory != nil {
@@ -156,7 +159,7 @@
 	} else {
 		in.registry = in.newRegistry(seed)
 	}
-	in.membership.vm(now, in.self)
+	in.membership.addVM(now, in.self)
 	in.pages.Store(&[]string{gatewayPage})
 	return in
 }
@@ -172,22 +175,22 @@
 		Deadline:  s.Limits.Deadline,
 		Progress:  s.Limits.Progress,
 		BodyBytes: s.Limits.BodyBytes,
-		Headers:   headers(s.Headers),
+		Headers:   headerNames(s.Headers),
 		Services:  services,
 		Admission: admission.Options{
 			Zone:            s.Gateway.Zone,
-			MaxWaiting:      orNone(s.Limits.QueueLength),
-			RetryShare:      orNone(s.Retry.RetryShare),
+			MaxWaiting:      noneIfZero(s.Limits.QueueLength),
+			RetryShare:      noneIfZero(s.Retry.RetryShare),
 			RetryWindow:     s.Retry.Window,
 			RetrySlack:      s.Retry.Slack,
-			HedgeShare:      orNone(s.Retry.HedgeShare),
+			HedgeShare:      noneIfZero(s.Retry.HedgeShare),
 			HedgeQuantile:   s.Retry.HedgeQuantile,
 			Ask:             s.Choice.Ask,
 			ProbePath:       s.Measuring.Path,
 			ServerPerSecond: s.Measuring.ServerPerSecond,
-			Budget:          in.budget,
+			Budget:          in.probeBudget,
 			NewChooser:      in.newChooser,
-			OnReport:        in.reported,
+			OnReport:        in.handleReport,
 		},
 		Claims:  in.claims(),
 		Metrics: in.metrics.Scope(),
@@ -196,8 +199,8 @@
 	})
 }
 
-// claims returns the claims in the platform's store. A directory keeps none, so that
-// rules with Repeat=Claim are refused.
+// claims returns the claims in the platform's store. It returns nil with a directory,
+// which stores no claims, so that calls under rules with Repeat=Claim are refused.
 func (in *instance) claims() mustardsaddle.Claims {
 	if in.cfg.Directory != nil {
 		return nil
@@ -205,16 +208,17 @@
 	return claim.New(claim.Config{Store: in.store.For(store.Claims)})
 }
 
-// orNone maps the setting 0, which means none, to what the request path takes as
-// none; there 0 means the default.
-func orNone[N int | float64 | time.Duration](v N) N {
+// noneIfZero maps the setting 0, which means none, to -1: in the options of the request
+// path -1 means none and 0 means the default.
+func noneIfZero[N int | float64 | time.Duration](v N) N {
 	if v == 0 {
 		return -1
 	}
 	return v
 }
 
-// interval returns the time between two events of a rate.
+// interval returns the time between two events at the given rate, or an hour if the
+// rate is not positive.
 func interval(perSecond float64) time.Duration {
 	if perSecond <= 0 {
 		return time.Hour
@@ -222,8 +226,8 @@
 	return time.Duration(float64(time.Second) / perSecond)
 }
 
-// policy returns the policy of a checked name.
-func policy(name string) bench.Policy {
+// policyByName returns the policy with a name that the settings have validated.
+func policyByName(name string) bench.Policy {
 	for p := bench.Default; p <= bench.PreferredSpill; p++ {
 		if p.String() == name {
 			return p
@@ -232,12 +236,13 @@
 	return bench.Default
 }
 
-// reported takes each load report that the gateway sees.
-func (in *instance) reported(now time.Time, _, server string, rep mustardsaddle.Report) {
-	in.spreadFresh("", in.membership.observe(now, server, rep))
+// handleReport applies each load report that the gateway receives from a server.
+func (in *instance) handleReport(now time.Time, _, server string, rep mustardsaddle.Report) {
+	in.floodNew("", in.membership.observe(now, server, rep))
 }
 
-// ready returns nil while the gateway takes calls.
+// ready returns nil while the gateway accepts calls, and otherwise an error with the
+// reason.
 func (in *instance) ready() error {
 	if in.stopping.Load() {
 		return code.Errorf(code.CallStopping, "gateway %s is stopping", in.self.Name)
@@ -259,7 +264,7 @@
 	return len(in.membership.Roster().Services()) > 0
 }
 
-// rosterChanged passes a new roster on to all that depend on it.
+// rosterChanged passes a new roster to the components that depend on it.
 func (in *instance) rosterChanged(now time.Time, old, r roster.Roster) {
 	for _, service := range r.Services() {
 		if !slices.Equal(old.Servers(service), r.Servers(service)) {
@@ -274,9 +279,10 @@
 	in.links.SetNeighbors(in.neighbors(r))
 }
 
-// neighbors returns the VMs to which links are kept: those that the roster gives,
-// or the addresses of the settings while it knows no other gateway. With a directory
-// there are no such addresses, and gateways that return are called by others.
+// neighbors returns the VMs to which links are kept: those chosen from the roster, or
+// the seed addresses of the settings while the roster has no other gateway. With a
+// directory there are no seed addresses; instead, links are also kept to gateways that
+// have left, so that a gateway that starts at the same address is reached by its peers.
 func (in *instance) neighbors(r roster.Roster) []mustardsaddle.VM {
 	peers := in.cfg.Settings.Peers
 	vms := roster.Neighbors(r.Peers(), in.self.Name, roster.NeighborConfig{Across: peers.Across})
--- a/internal/product/instance/list.go
+++ b/internal/product/instance/list.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// gatewayPage is the page of the platform's list that names the gateway VMs.
+	// gatewayPage is the page of the platform's list that contains the gateway VMs.
 	gatewayPage = ""
-	// maxListWait bounds the wait for a page, so that new rules or VMs are seen.
-	maxListWait = 200 * time.Millisecond
+	// maxPollWait bounds the wait for the next page that is due, so that new pages and
+	// VMs are scheduled soon.
+	maxPollWait = 200 * time.Millisecond
 )
 
-// followList reads pages of the platform's list of VMs until the context ends,
-// then closes done. A page that cannot be read changes nothing.
-func (in *instance) followList(ctx context.Context, done chan<- struct{}) {
+// pollList polls the pages of the platform's list of VMs until the context ends, then
+// closes done. A page that cannot be read leaves the roster as it is.
+func (in *instance) pollList(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
 	p := in.cfg.Settings.Platform
 	schedule := roster.NewSchedule(roster.ScheduleConfig{Self: in.self.Name, Poll: p.Poll, FleetReads: p.ReadsPerSecond / 2})
@@ -33,13 +34,14 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(min(wait, maxListWait)):
+		case <-time.After(min(wait, maxPollWait)):
 		}
 	}
 }
 
-// pagesOf returns the pages that a rules file needs, in order.
-func pagesOf(f rule.File) []string {
+// requiredPages returns the pages that a rules file needs, sorted: that of the
+// gateways and one for each service.
+func requiredPages(f rule.File) []string {
 	pages := []string{gatewayPage}
 	for _, r := range f.Rules() {
 		for _, part := range r.Services() {
@@ -50,7 +52,7 @@
 	return slices.Compact(pages)
 }
 
-// readPage reads a page, and spreads what is new in it.
+// readPage reads a page, applies it, and floods what is new in it.
 func (in *instance) readPage(ctx context.Context, name string, versions map[string]string) {
 	page, err := in.store.Machines(ctx, name, versions[name])
 	if ctx.Err() != nil {
@@ -63,5 +65,5 @@
 	if page.Changed {
 		versions[name] = page.Version
 	}
-	in.spreadFresh("", in.membership.page(time.Now(), name, page))
+	in.floodNew("", in.membership.applyPage(time.Now(), name, page))
 }
--- a/internal/product/instance/listing.go
+++ b/internal/product/instance/listing.go
@@ -15,29 +15,32 @@
 )
 
 const (
-	// readers is how many gateways of the fleet watch a collection of a directory.
-	readers = 2
-	// secondLook is when the gateways are read again after this one has entered
-	// itself, since others that start at the same time do so too.
-	secondLook = 700 * time.Millisecond
-	// lookInterval is the mean time between later reads of the gateways, which the
-	// links name too.
-	lookInterval = 30 * time.Second
-	// lookPause is the time to the next read of the gateways after a failure.
-	lookPause = time.Second
+	// readersPerCollection is how many gateways of the fleet watch each collection of a
+	// directory.
+	readersPerCollection = 2
+	// secondReadDelay is the delay before the list of gateways is read again after this
+	// gateway has registered itself: others that start at the same time register, too.
+	secondReadDelay = 700 * time.Millisecond
+	// gatewayReadInterval is the mean time between later reads of the list of gateways.
+	// They can be rare because links also announce new gateways.
+	gatewayReadInterval = 30 * time.Second
+	// gatewayRetryDelay is the delay before the next read of the list of gateways after
+	// a failure.
+	gatewayRetryDelay = time.Second
 )
 
-// reads reports whether this gateway reads a collection for the others. It is one
-// of the first in an order on which all gateways agree that know the same VMs. Until
-// it knows them, it is none: of many that start together each would take itself for
-// the first.
-func (in *instance) reads(c mustardsaddle.Collection) bool {
-	return in.met.Load() && roster.Rank(in.membership.Roster().VMs(), in.self.Name, c.String()) < readers
+// isReader reports whether this gateway reads a collection for the others. The readers
+// are the first gateways in a rendezvous order that is the same on all gateways with
+// the same list of VMs. Before the list is known the gateway is no reader: of many that
+// start together, each would rank itself first.
+func (in *instance) isReader(c mustardsaddle.Collection) bool {
+	return in.gatewaysKnown.Load() && roster.Rank(in.membership.Roster().VMs(), in.self.Name, c.String()) < readersPerCollection
 }
 
-// spreadListing passes an update of the directory on to the peers.
-func (in *instance) spreadListing(from string, c mustardsaddle.Collection, u mustardsaddle.Update) {
-	m := listingOf(c, u)
+// forwardUpdate sends an update of the directory to all peers except the one it came
+// from.
+func (in *instance) forwardUpdate(from string, c mustardsaddle.Collection, u mustardsaddle.Update) {
+	m := listingFromUpdate(c, u)
 	for _, peer := range in.links.Peers() {
 		if peer != from {
 			in.links.Send(peer, m)
@@ -45,26 +48,28 @@
 	}
 }
 
-// receiveListing takes an update of the directory from a peer, or a question for one.
-func (in *instance) receiveListing(now time.Time, from string, msg news.Message) {
+// receiveDirectoryMessage handles an update of the directory from a peer, or a peer's
+// request for one.
+func (in *instance) receiveDirectoryMessage(now time.Time, from string, msg news.Message) {
 	if in.catalog == nil {
 		return
 	}
 	switch m := msg.(type) {
 	case news.Listing:
-		if in.catalog.Receive(now, from, collectionOf(m.Servers), updateOf(m)) {
+		if in.catalog.Receive(now, from, collectionByFlag(m.Servers), updateFromListing(m)) {
 			in.links.Send(from, news.AskListing{Servers: m.Servers})
 		}
 	case news.AskListing:
-		c := collectionOf(m.Servers)
+		c := collectionByFlag(m.Servers)
 		if u, ok := in.catalog.Whole(now, c); ok {
-			in.links.Send(from, listingOf(c, u))
+			in.links.Send(from, listingFromUpdate(c, u))
 		}
 	}
 }
 
-// compareListed asks a peer for the collections of which it knows more.
-func (in *instance) compareListed(now time.Time, from string, theirs news.Summary) {
+// requestNewerCollections requests from a peer the collections for which its state is
+// newer.
+func (in *instance) requestNewerCollections(now time.Time, from string, theirs news.Summary) {
 	if in.catalog == nil {
 		return
 	}
@@ -78,19 +83,19 @@
 	}
 }
 
-func collectionOf(servers bool) mustardsaddle.Collection {
+func collectionByFlag(servers bool) mustardsaddle.Collection {
 	if servers {
 		return mustardsaddle.ServersCollection
 	}
 	return mustardsaddle.RulesCollection
 }
 
-func knownOf(k mustardsaddle.Known) news.Known {
+func knownMessage(k mustardsaddle.Known) news.Known {
 	return news.Known{Revision: k.Revision, Age: k.Age.Milliseconds()}
 }
 
-// listingOf returns the message that carries an update.
-func listingOf(c mustardsaddle.Collection, u mustardsaddle.Update) news.Listing {
+// listingFromUpdate converts an update to a message.
+func listingFromUpdate(c mustardsaddle.Collection, u mustardsaddle.Update) news.Listing {
 	m := news.Listing{
 		Servers: c == mustardsaddle.ServersCollection, Whole: u.Whole, After: u.After, Revision: u.Revision,
 		Age: u.Age.Milliseconds(), Machines: u.Machines, Removed: u.Removed,
@@ -101,8 +106,8 @@
 	return m
 }
 
-// updateOf returns the update that a message carries.
-func updateOf(m news.Listing) mustardsaddle.Update {
+// updateFromListing converts a message to an update.
+func updateFromListing(m news.Listing) mustardsaddle.Update {
 	u := mustardsaddle.Update{
 		Whole: m.Whole, After: m.After, Revision: m.Revision, Age: time.Duration(m.Age) * time.Millisecond,
 		Machines: m.Machines, Removed: m.Removed,
@@ -113,47 +118,48 @@
 	return u
 }
 
-// machineOf returns a gateway VM as the directory lists it.
-func machineOf(vm mustardsaddle.VM) mustardsaddle.Machine {
+// machineFromVM converts a gateway VM to its entry in the directory.
+func machineFromVM(vm mustardsaddle.VM) mustardsaddle.Machine {
 	return mustardsaddle.Machine{Name: vm.Name, Incarnation: vm.Incarnation, Zone: vm.Zone, Address: vm.Peer}
 }
 
-// meet reads which gateways there are, enters this one in the directory, and removes
-// entries of gateways that are gone, until the context ends; then it closes done.
-func (in *instance) meet(ctx context.Context, done chan<- struct{}) {
+// syncGateways reads the gateways from the directory, registers this one there, and
+// removes the entries of gateways that are gone, until the context ends; then it
+// closes done.
+func (in *instance) syncGateways(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
 	var silent map[string]bool
-	looks := 0
+	reads := 0
 	for pause := time.Duration(0); store.Sleep(ctx, pause); {
-		// Later reads need not be exact: links tell of gateways that are new.
-		u, err := in.directory.Snapshot(ctx, mustardsaddle.GatewaysCollection, looks < 2)
-		alone := err == nil && !in.listed(u.Machines)
-		if alone {
+		// Only the first reads must be exact: later, links announce new gateways.
+		u, err := in.directory.Snapshot(ctx, mustardsaddle.GatewaysCollection, reads < 2)
+		unlisted := err == nil && !in.isListed(u.Machines)
+		if unlisted {
 			err = in.directory.Enter(ctx, in.self)
 		}
 		if err != nil {
 			in.logStoreFailure(ctx, err)
-			pause = lookPause
+			pause = gatewayRetryDelay
 			continue
 		}
-		in.spreadFresh("", in.membership.machines(time.Now(), u.Machines))
-		looks++
-		pause = secondLook
-		if looks >= 2 || !alone {
-			looks = max(looks, 2)
-			in.met.Store(true)
-			pause = lookInterval/2 + rand.N(lookInterval)
-			silent = in.tidy(ctx, u.Machines, silent)
+		in.floodNew("", in.membership.applyMachines(time.Now(), u.Machines))
+		reads++
+		pause = secondReadDelay
+		if reads >= 2 || !unlisted {
+			reads = max(reads, 2)
+			in.gatewaysKnown.Store(true)
+			pause = gatewayReadInterval/2 + rand.N(gatewayReadInterval)
+			silent = in.removeStaleEntries(ctx, u.Machines, silent)
 		}
 	}
 }
 
-// tidy removes the entries of gateways that were silent at the last look too, if it
-// is this gateway's turn, and returns those that are silent now. One that lives all
-// the same enters itself again.
-func (in *instance) tidy(ctx context.Context, listed []mustardsaddle.Machine, before map[string]bool) map[string]bool {
+// removeStaleEntries returns the names of the listed gateways that are silent or
+// leaving. If this gateway ranks first, it removes the entries of those that were so
+// at the previous read, too. A gateway that is alive after all registers itself again.
+func (in *instance) removeStaleEntries(ctx context.Context, listed []mustardsaddle.Machine, silentBefore map[string]bool) map[string]bool {
 	vms := in.membership.Roster().VMs()
-	turn := roster.Rank(vms, in.self.Name, mustardsaddle.GatewaysCollection.String()) == 0
+	responsible := roster.Rank(vms, in.self.Name, mustardsaddle.GatewaysCollection.String()) == 0
 	leaving := make(map[string]bool)
 	for _, vm := range vms {
 		leaving[vm.Name] = vm.Leaving
@@ -164,7 +170,7 @@
 			continue
 		}
 		silent[m.Name] = true
-		if !turn || !before[m.Name] {
+		if !responsible || !silentBefore[m.Name] {
 			continue
 		}
 		event.Info(in.cfg.Logger, event.EntryRemoved).Str("VM", m.Name).Str("Address", m.Address).Send()
@@ -175,9 +181,9 @@
 	return silent
 }
 
-// listed reports whether this gateway is found by its entry, be it one of an earlier
-// life.
-func (in *instance) listed(machines []mustardsaddle.Machine) bool {
+// isListed reports whether the directory has an entry with this gateway's name, zone
+// and address. The entry may be that of an earlier incarnation.
+func (in *instance) isListed(machines []mustardsaddle.Machine) bool {
 	return slices.ContainsFunc(machines, func(m mustardsaddle.Machine) bool {
 		return m.Name == in.self.Name && m.Zone == in.self.Zone && m.Address == in.self.Peer
 	})
--- a/internal/product/instance/membership.go
+++ b/internal/product/instance/membership.go
@@ -9,50 +9,51 @@
 	"mustardsaddle.example/mustardsaddle/internal/control/roster"
 )
 
-// membership owns the roster. Every input passes through change, so that the
-// rest of the instance learns of each new roster exactly once and in order. The
-// methods that take an input return what was new in it, for the caller to spread.
+// membership holds the current roster. Each new roster is published under the lock, so
+// that the rest of the instance sees every change exactly once and in order. The
+// methods that apply an input return what was new in it, for the caller to flood.
 type membership struct {
-	// changed is told each new roster with the one that it replaces. It runs under
-	// the lock, and must not block.
-	changed func(now time.Time, old, next roster.Roster)
+	// onChange is called with each new roster and the one that it replaces. It is
+	// called with mu held and must not block.
+	onChange func(now time.Time, old, next roster.Roster)
 
 	mu     sync.Mutex
 	roster roster.Roster
 
-	// leaving holds the names of the servers that are known to leave. It lets the
-	// reports of all other servers pass without taking the lock.
+	// leaving holds the names of the leaving servers. It lets observe skip the lock for
+	// reports of all other servers.
 	leaving atomic.Pointer[map[string]bool]
 }
 
-// fresh is what an input told that was not known.
-type fresh struct {
+// additions are the part of an input that was not known before.
+type additions struct {
 	marks    []mustardsaddle.Mark
 	machines []mustardsaddle.Machine
 }
 
-func newMembership(changed func(now time.Time, old, next roster.Roster)) *membership {
-	m := &membership{changed: changed, roster: roster.New(roster.Config{})}
+func newMembership(onChange func(now time.Time, old, next roster.Roster)) *membership {
+	m := &membership{onChange: onChange, roster: roster.New(roster.Config{})}
 	m.leaving.Store(&map[string]bool{})
 	return m
 }
 
-// Roster returns the present roster.
+// Roster returns the current roster.
 func (m *membership) Roster() roster.Roster {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.roster
 }
 
-// change replaces the roster by what next makes of it.
-func (m *membership) change(now time.Time, next func(roster.Roster) roster.Roster) fresh {
+// update replaces the roster with the result of next.
+func (m *membership) update(now time.Time, next func(roster.Roster) roster.Roster) additions {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.publish(now, next(m.roster))
 }
 
-// publish puts a roster in place. The caller holds mu.
-func (m *membership) publish(now time.Time, next roster.Roster) fresh {
+// publish makes next the current roster and returns what is new in it. The caller
+// holds mu.
+func (m *membership) publish(now time.Time, next roster.Roster) additions {
 	old := m.roster
 	m.roster = next
 	leaving := make(map[string]bool)
@@ -64,29 +65,30 @@
 		}
 	}
 	m.leaving.Store(&leaving)
-	m.changed(now, old, m.roster)
-	return fresh{marks: m.roster.MarksSince(old), machines: m.roster.MachinesSince(old)}
+	m.onChange(now, old, m.roster)
+	return additions{marks: m.roster.MarksSince(old), machines: m.roster.MachinesSince(old)}
 }
 
-// observe takes a first-hand load report. In the common case, a server that
-// stays and says so, it takes no lock.
-func (m *membership) observe(now time.Time, server string, rep mustardsaddle.Report) fresh {
+// observe applies a load report that this gateway received from a server itself. In
+// the common case, a report without Draining from a server that is not leaving, it
+// takes no lock.
+func (m *membership) observe(now time.Time, server string, rep mustardsaddle.Report) additions {
 	if !rep.Draining && !(*m.leaving.Load())[server] {
-		return fresh{}
+		return additions{}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	next, _, ok := m.roster.Observe(now, server, rep)
 	if !ok {
-		m.roster = next // it counts the report as proof, which nobody else sees
-		return fresh{}
+		m.roster = next // counts the report as evidence that the server stays; not published
+		return additions{}
 	}
 	return m.publish(now, next)
 }
 
-// page takes a page of the platform's list, as read at now.
-func (m *membership) page(now time.Time, name string, page mustardsaddle.Page) fresh {
-	return m.change(now, func(r roster.Roster) roster.Roster {
+// applyPage applies a page of the platform's list that was read at now.
+func (m *membership) applyPage(now time.Time, name string, page mustardsaddle.Page) additions {
+	return m.update(now, func(r roster.Roster) roster.Roster {
 		if !page.Changed {
 			return r.WithPageUnchanged(now, name)
 		}
@@ -94,22 +96,22 @@
 	})
 }
 
-// machines takes VMs that a peer's list names.
-func (m *membership) machines(now time.Time, list []mustardsaddle.Machine) fresh {
-	return m.change(now, func(r roster.Roster) roster.Roster { return r.WithPeerList(list) })
+// applyMachines applies the VMs of a peer's list or of the directory.
+func (m *membership) applyMachines(now time.Time, list []mustardsaddle.Machine) additions {
+	return m.update(now, func(r roster.Roster) roster.Roster { return r.WithPeerList(list) })
 }
 
-// marks takes marks from a peer or from this gateway.
-func (m *membership) marks(now time.Time, marks []mustardsaddle.Mark) fresh {
-	return m.change(now, func(r roster.Roster) roster.Roster { return r.WithMarks(now, marks) })
+// applyMarks applies marks from a peer or from this gateway.
+func (m *membership) applyMarks(now time.Time, marks []mustardsaddle.Mark) additions {
+	return m.update(now, func(r roster.Roster) roster.Roster { return r.WithMarks(now, marks) })
 }
 
-// vm takes the introduction of a gateway VM.
-func (m *membership) vm(now time.Time, vm mustardsaddle.VM) {
-	m.change(now, func(r roster.Roster) roster.Roster { return r.WithVM(vm) })
+// addVM adds a gateway VM: this one, or a peer that identified itself over a link.
+func (m *membership) addVM(now time.Time, vm mustardsaddle.VM) {
+	m.update(now, func(r roster.Roster) roster.Roster { return r.WithVM(vm) })
 }
 
-// silent notes that a gateway VM does not answer.
-func (m *membership) silent(now time.Time, name string) {
-	m.change(now, func(r roster.Roster) roster.Roster { return r.WithSilent(name) })
+// markSilent records that a gateway VM has had no link for the silence limit.
+func (m *membership) markSilent(now time.Time, name string) {
+	m.update(now, func(r roster.Roster) roster.Roster { return r.WithSilent(name) })
 }
--- a/internal/product/instance/peers.go
+++ b/internal/product/instance/peers.go
@@ -8,7 +8,8 @@
 	"mustardsaddle.example/mustardsaddle/internal/peer/news"
 )
 
-// maxFloodedMachines bounds the VMs that are flooded at a time: a page's worth.
+// maxFloodedMachines is the largest number of VMs that are flooded at once: those of
+// one page of the list.
 const maxFloodedMachines = 256
 
 func (in *instance) newLinks(seed uint64) *link.Links {
@@ -17,14 +18,14 @@
 		Self:    in.self,
 		Summary: in.summary,
 		Receive: in.receive,
-		Lost:    in.membership.silent,
+		Lost:    in.membership.markSilent,
 		Timing:  link.Timing{Heartbeat: s.Peers.Heartbeat, Silence: s.Peers.Silent},
 		Seed:    seed,
 		Logger:  in.cfg.Logger,
 	})
 }
 
-// summary says what this gateway knows.
+// summary returns the summary of this gateway's state for Hello and Heartbeat messages.
 func (in *instance) summary() news.Summary {
 	s := news.Summary{MarksDigest: in.membership.Roster().MarksDigest()}
 	if in.catalog == nil {
@@ -32,61 +33,61 @@
 		return s
 	}
 	now := time.Now()
-	s.Rules = knownOf(in.catalog.Known(now, mustardsaddle.RulesCollection))
-	s.Servers = knownOf(in.catalog.Known(now, mustardsaddle.ServersCollection))
+	s.Rules = knownMessage(in.catalog.Known(now, mustardsaddle.RulesCollection))
+	s.Servers = knownMessage(in.catalog.Known(now, mustardsaddle.ServersCollection))
 	return s
 }
 
-// receive takes one message of a peer.
+// receive handles a message from a peer.
 func (in *instance) receive(now time.Time, from string, msg news.Message) {
 	switch m := msg.(type) {
 	case news.Hello:
 		in.mu.Lock()
 		in.relay.Forget(from)
 		in.mu.Unlock()
-		in.introduced(now, from, m)
+		in.handleHello(now, from, m)
 	case news.Heartbeat:
-		in.compare(now, from, m.Summary)
+		in.reconcile(now, from, m.Summary)
 	case news.Marks:
-		in.spreadFresh(from, in.membership.marks(now, m.Marks))
+		in.floodNew(from, in.membership.applyMarks(now, m.Marks))
 	case news.AskMachines:
 		for _, part := range news.SplitMachines(in.membership.Roster().Machines()) {
 			in.links.Send(from, part)
 		}
 	case news.Machines:
-		in.spreadFresh(from, in.membership.machines(now, m.Machines))
+		in.floodNew(from, in.membership.applyMachines(now, m.Machines))
 	case news.Generations:
-		in.learn(m)
+		in.learnGenerations(m)
 	case news.Listing, news.AskListing:
-		in.receiveListing(now, from, msg)
+		in.receiveDirectoryMessage(now, from, msg)
 	case news.RuleChange, news.AskRules, news.WholeRules:
-		in.receiveRules(now, from, msg)
+		in.receiveRuleMessage(now, from, msg)
 	}
 }
 
-// introduced takes the introduction of a peer.
-func (in *instance) introduced(now time.Time, from string, m news.Hello) {
-	in.membership.vm(now, m.VM)
+// handleHello handles the first message on a link, in which the peer identifies itself.
+func (in *instance) handleHello(now time.Time, from string, m news.Hello) {
+	in.membership.addVM(now, m.VM)
 	if in.catalog != nil {
-		// A directory names the gateways that have entered themselves; those that
-		// entered after this one has read it come by links.
-		in.spreadFresh(from, in.membership.machines(now, []mustardsaddle.Machine{machineOf(m.VM)}))
+		// A directory lists the gateways that have registered themselves. Those that
+		// registered after this gateway's last read are learned from their links.
+		in.floodNew(from, in.membership.applyMachines(now, []mustardsaddle.Machine{machineFromVM(m.VM)}))
 	}
-	in.compare(now, from, m.Summary)
+	in.reconcile(now, from, m.Summary)
 	if in.catalog == nil && len(in.membership.Roster().Services()) == 0 {
 		in.links.Send(from, news.AskMachines{})
 	}
 }
 
-// compare asks for what the peer knows and this gateway lacks, and sends what
-// the peer lacks.
-func (in *instance) compare(now time.Time, from string, theirs news.Summary) {
+// reconcile compares the peer's summary with this gateway's own state. It requests the
+// rules and collections that are newer at the peer, and sends all marks if they differ.
+func (in *instance) reconcile(now time.Time, from string, theirs news.Summary) {
 	own := in.summary()
 	in.mu.Lock()
-	in.told.Learn(from, theirs.Generation)
+	in.fleetGenerations.Learn(from, theirs.Generation)
 	gap := in.relay.Compare(now, from, own, theirs)
 	in.mu.Unlock()
-	in.compareListed(now, from, theirs)
+	in.requestNewerCollections(now, from, theirs)
 	if gap.AskRules {
 		in.links.Send(from, news.AskRules{Have: own.Generation})
 	}
@@ -97,24 +98,25 @@
 	}
 }
 
-// spreadFresh floods what was new to this gateway. A whole list, such as a starting
-// gateway gets, is not flooded: the others have it, or ask for it.
-func (in *instance) spreadFresh(from string, f fresh) {
+// floodNew floods what was new to this gateway. More than maxFloodedMachines VMs, such
+// as the whole list that a starting gateway receives, are not flooded: the other
+// gateways already have them or request them.
+func (in *instance) floodNew(from string, added additions) {
 	generation := in.generation.Load()
-	for _, part := range news.SplitMarks(f.marks) {
-		in.spread(from, generation, part)
+	for _, part := range news.SplitMarks(added.marks) {
+		in.flood(from, generation, part)
 	}
-	if len(f.machines) > maxFloodedMachines {
+	if len(added.machines) > maxFloodedMachines {
 		return
 	}
-	for _, part := range news.SplitMachines(f.machines) {
-		in.spread(from, generation, part)
+	for _, part := range news.SplitMachines(added.machines) {
+		in.flood(from, generation, part)
 	}
 }
 
-// spread passes a message on to the peers that the relay names; generation is the
-// one in force before the message is applied.
-func (in *instance) spread(from string, generation int64, msg news.Message) {
+// flood sends a message to the peers that the relay selects. The generation is the one
+// that was in force before the message was applied.
+func (in *instance) flood(from string, generation int64, msg news.Message) {
 	in.mu.Lock()
 	targets := in.relay.Targets(from, msg, generation, in.links.Peers())
 	in.mu.Unlock()
--- a/internal/product/instance/reload.go
+++ b/internal/product/instance/reload.go
@@ -10,7 +10,7 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/booking"
 )
 
-// followSettings applies later settings until the context ends, then closes done.
+// followSettings applies reloaded settings until the context ends, then closes done.
 func (in *instance) followSettings(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
 	for {
@@ -18,17 +18,17 @@
 		case <-ctx.Done():
 			return
 		case s := <-in.cfg.Reloads:
-			in.reload(time.Now(), s)
+			in.applySettings(time.Now(), s)
 		}
 	}
 }
 
-// reload puts the parts of new settings in force that can change while calls are
-// served: the budgets of questions and retries, and the stop. The others keep
-// their values until a restart.
-func (in *instance) reload(now time.Time, s settings.Settings) {
+// applySettings applies the sections of new settings that can change while the gateway
+// runs: the budgets of probes and retries, and the shutdown times. The other sections
+// keep their values until a restart.
+func (in *instance) applySettings(now time.Time, s settings.Settings) {
 	old := *in.current.Load()
-	in.budget.SetRates(now, measuringRates(s))
+	in.probeBudget.SetRates(now, probeRates(s))
 	in.gateway.SetRetry(now, booking.Bounds{Share: s.Retry.RetryShare, Slack: s.Retry.Slack})
 	next := old.WithMeasuring(s.Measuring).WithRetry(s.Retry).WithStop(s.Stop)
 	in.current.Store(&next)
@@ -36,8 +36,8 @@
 		Strs("AfterRestart", s.Changed(next)).Send()
 }
 
-// measuringRates returns the agreed rates of questions.
-func measuringRates(s settings.Settings) report.BudgetConfig {
+// probeRates returns the configured limits of the probe budget.
+func probeRates(s settings.Settings) report.BudgetConfig {
 	return report.BudgetConfig{
 		MessagesPerSecond: s.Measuring.MessagesPerSecond,
 		BytesPerSecond:    s.Measuring.BytesPerSecond,
--- a/internal/product/instance/rules.go
+++ b/internal/product/instance/rules.go
@@ -11,7 +11,7 @@
 	"mustardsaddle.example/mustardsaddle/internal/product/admin"
 )
 
-// watchersPerZone is how many gateways of each availability zone hold watches.
+// watchersPerZone is how many gateways of each availability zone watch the store.
 const watchersPerZone = 2
 
 func (in *instance) newRegistry(seed uint64) *registry.Registry {
@@ -19,8 +19,8 @@
 		Name:        in.self.Name,
 		Store:       in.store,
 		StatusStore: in.store.For(store.Status),
-		InForce:     in.inForce,
-		Spread:      in.spreadChange,
+		InForce:     in.applyRules,
+		Spread:      in.floodRuleChange,
 		Rank: func() int {
 			return roster.Rank(in.membership.Roster().VMs(), in.self.Name, registry.SubmittedKey)
 		},
@@ -28,21 +28,22 @@
 		Watch: func() bool {
 			return roster.ZoneRank(in.membership.Roster().VMs(), in.self.Name, registry.AcceptedKey) < watchersPerZone
 		},
-		Live:   in.live,
+		Live:   in.liveGateways,
 		Logger: in.cfg.Logger,
 		Seed:   seed,
 	})
 }
 
-// inForce puts a table in force on the request path.
-func (in *instance) inForce(t *rule.Table) {
+// applyRules puts a rule table in force: it passes the table to the request path, and
+// stores its generation and the pages of the VM list that it needs.
+func (in *instance) applyRules(t *rule.Table) {
 	in.gateway.SetRules(t)
 	in.generation.Store(t.File.Generation)
-	pages := pagesOf(t.File)
+	pages := requiredPages(t.File)
 	in.pages.Store(&pages)
 }
 
-// rules returns the file in force for the admin page.
+// rules returns the rules file in force for the admin page.
 func (in *instance) rules() admin.Rules {
 	if in.catalog != nil {
 		text, generation := in.catalog.Snapshot()
@@ -52,22 +53,23 @@
 	return admin.Rules{Generation: generation, Text: text}
 }
 
-// spreadChange floods a change that took force here.
-func (in *instance) spreadChange(c rule.Change) {
-	in.spread("", c.From, newsOf(c))
+// floodRuleChange floods a change of the rules that this gateway has put in force.
+func (in *instance) floodRuleChange(c rule.Change) {
+	in.flood("", c.From, changeToMessage(c))
 }
 
-// receiveChange passes a change of a peer on, and applies it. A change that comes
-// too early is kept by the registry; if the one before it does not come, the next
-// heartbeat shows the gap. A change that does not fit needs the whole file.
-func (in *instance) receiveChange(now time.Time, from string, m news.RuleChange) {
-	in.spread(from, in.generation.Load(), m)
-	if in.registry.Receive(now, changeOf(m)) == rule.BadDigest {
+// receiveRuleChange forwards a change from a peer and applies it. The registry buffers
+// a change that arrives before its predecessor; if the predecessor never arrives, the
+// next heartbeat reveals the gap. If the change does not fit this gateway's file or
+// the digest of the result differs, the whole file is requested.
+func (in *instance) receiveRuleChange(now time.Time, from string, m news.RuleChange) {
+	in.flood(from, in.generation.Load(), m)
+	if in.registry.Receive(now, changeFromMessage(m)) == rule.BadDigest {
 		in.links.Send(from, news.AskRules{Have: in.generation.Load()})
 	}
 }
 
-// sendRules answers a peer that lacks rules.
+// sendRules sends the rules file to a peer that has an older generation.
 func (in *instance) sendRules(to string, have int64) {
 	text, generation := in.registry.Snapshot()
 	if generation > have {
@@ -75,19 +77,19 @@
 	}
 }
 
-// receiveRules takes a message about rules that the gateways agree on. With a
-// directory there are none.
-func (in *instance) receiveRules(now time.Time, from string, msg news.Message) {
+// receiveRuleMessage handles a message about rules that the gateways agree on through
+// the store. With a directory such messages are ignored.
+func (in *instance) receiveRuleMessage(now time.Time, from string, msg news.Message) {
 	if in.registry == nil {
 		return
 	}
 	switch m := msg.(type) {
 	case news.RuleChange:
-		in.receiveChange(now, from, m)
+		in.receiveRuleChange(now, from, m)
 	case news.AskRules:
 		in.sendRules(from, m.Have)
 	case news.WholeRules:
-		// The registry logs a file that it refuses.
+		// The registry logs a file that it rejects.
 		_, _ = in.registry.ReceiveWhole(now, m.Text)
 	}
 }
--- a/internal/product/instance/serve.go
+++ b/internal/product/instance/serve.go
@@ -18,15 +18,15 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/gateway"
 )
 
-// listeners are the open addresses of an instance.
+// listeners are the listeners of an instance.
 type listeners struct {
 	callers, admin, peer net.Listener
 }
 
-// listen opens all addresses, or none.
+// listen opens all listeners, or none if one of them fails.
 func listen(ctx context.Context, g settings.Gateway) (listeners, error) {
 	var l listeners
-	opens := []struct {
+	specs := []struct {
 		name, address string
 		listener      *net.Listener
 	}{
@@ -34,13 +34,13 @@
 		{"admin", g.Admin, &l.admin},
 		{"peer", g.LinkAddress(), &l.peer},
 	}
-	for _, o := range opens {
-		opened, err := (&net.ListenConfig{}).Listen(ctx, "tcp", o.address)
+	for _, spec := range specs {
+		opened, err := (&net.ListenConfig{}).Listen(ctx, "tcp", spec.address)
 		if err != nil {
 			l.close()
-			return listeners{}, code.Wrapf(code.SettingsBadValue, err, "open %s address %s", o.name, o.address)
+			return listeners{}, code.Wrapf(code.SettingsBadValue, err, "listen on %s address %s", spec.name, spec.address)
 		}
-		*o.listener = opened
+		*spec.listener = opened
 	}
 	return l, nil
 }
@@ -57,89 +57,91 @@
 	}
 }
 
-// run serves until the context ends, then stops.
+// run serves until the context ends or a server fails, then shuts down.
 func (in *instance) run(ctx context.Context, l listeners) error {
-	// The control side works on until the last call has finished.
-	work, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	served := in.serve(l)
-	parts := in.start(work)
+	// The control plane runs until the last call has finished.
+	controlCtx, stopControl := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopControl()
+	serveErrors := in.serve(l)
+	components := in.startControl(controlCtx)
 	a := l.addresses()
 	event.Info(in.cfg.Logger, event.Started).Str("Listen", a.Callers).Str("Admin", a.Admin).Str("Peer", a.Peer).Send()
 	if in.cfg.Started != nil {
 		in.cfg.Started(a)
 	}
-	var failed error
+	var runErr error
 	select {
 	case <-ctx.Done():
-	case failed = <-served:
+	case runErr = <-serveErrors:
 	}
-	cut := in.stop()
-	end()
-	for _, done := range parts {
+	aborted := in.stop()
+	stopControl()
+	for _, done := range components {
 		<-done
 	}
 	in.close()
-	event.Info(in.cfg.Logger, event.StopEnded).Int("Cut", cut).Send()
-	if cut > 0 {
-		failed = errors.Join(failed, code.Errorf(code.StopCut, "stop gateway %s: %d calls were cut", in.self.Name, cut))
+	event.Info(in.cfg.Logger, event.StopEnded).Int("Cut", aborted).Send()
+	if aborted > 0 {
+		runErr = errors.Join(runErr, code.Errorf(code.StopCut, "stop gateway %s: %d calls in flight were aborted", in.self.Name, aborted))
 	}
-	return failed
+	return runErr
 }
 
-// serve answers on all addresses. The channel takes the error of an address that
-// ends before the instance stops.
+// serve starts the HTTP servers on all listeners. Each server sends the error with
+// which it ends to the returned channel.
 func (in *instance) serve(l listeners) <-chan error {
 	s := in.cfg.Settings
-	in.front = gateway.NewServer(gateway.ServerConfig{
+	in.callerServer = gateway.NewServer(gateway.ServerConfig{
 		Handler:       in.gateway,
 		HeaderBytes:   s.Limits.HeaderBytes,
 		HeaderTimeout: s.Limits.Progress,
 		Logger:        in.cfg.Logger,
 	})
-	in.back = &http.Server{Handler: in.admin(), ReadHeaderTimeout: s.Limits.Progress}
+	in.adminServer = &http.Server{Handler: in.adminHandler(), ReadHeaderTimeout: s.Limits.Progress}
 	peers := mux.NewRouter()
 	in.links.Mount(peers)
-	in.side = &http.Server{Handler: peers, ReadHeaderTimeout: s.Limits.Progress}
-	served := make(chan error, 3)
-	go func() { served <- in.front.Serve(in.gateway.Listener(l.callers)) }()
-	go func() { served <- in.back.Serve(l.admin) }()
-	go func() { served <- in.side.Serve(l.peer) }()
-	return served
+	in.peerServer = &http.Server{Handler: peers, ReadHeaderTimeout: s.Limits.Progress}
+	serveErrors := make(chan error, 3)
+	go func() { serveErrors <- in.callerServer.Serve(in.gateway.Listener(l.callers)) }()
+	go func() { serveErrors <- in.adminServer.Serve(l.admin) }()
+	go func() { serveErrors <- in.peerServer.Serve(l.peer) }()
+	return serveErrors
 }
 
-// start begins the control side. Each channel is closed when its part has ended.
-func (in *instance) start(ctx context.Context) []<-chan struct{} {
-	parts := []<-chan struct{}{
-		begin(ctx, func(ctx context.Context, done chan<- struct{}) {
+// startControl starts the components of the control plane. Each returned channel is
+// closed when its component has ended.
+func (in *instance) startControl(ctx context.Context) []<-chan struct{} {
+	components := []<-chan struct{}{
+		startComponent(ctx, func(ctx context.Context, done chan<- struct{}) {
 			defer close(done)
 			_ = in.links.Run(ctx)
 		}),
-		begin(ctx, in.followSettings),
-		begin(ctx, func(ctx context.Context, done chan<- struct{}) { in.metrics.Follow(ctx, in.state, done) }),
+		startComponent(ctx, in.followSettings),
+		startComponent(ctx, func(ctx context.Context, done chan<- struct{}) { in.metrics.Follow(ctx, in.state, done) }),
 	}
 	if in.catalog != nil {
-		return append(parts,
-			begin(ctx, in.catalog.Run),
-			begin(ctx, in.meet),
+		return append(components,
+			startComponent(ctx, in.catalog.Run),
+			startComponent(ctx, in.syncGateways),
 		)
 	}
-	return append(parts,
-		begin(ctx, in.registry.Run),
-		begin(ctx, in.followList),
-		begin(ctx, in.followTold),
-		begin(ctx, in.prober.Run),
+	return append(components,
+		startComponent(ctx, in.registry.Run),
+		startComponent(ctx, in.pollList),
+		startComponent(ctx, in.gossipGenerations),
+		startComponent(ctx, in.prober.Run),
 	)
 }
 
-// begin starts a part and returns the channel on which it reports its end.
-func begin(ctx context.Context, part func(context.Context, chan<- struct{})) <-chan struct{} {
+// startComponent starts a component and returns the channel that it closes when it has
+// ended.
+func startComponent(ctx context.Context, component func(context.Context, chan<- struct{})) <-chan struct{} {
 	done := make(chan struct{})
-	go part(ctx, done)
+	go component(ctx, done)
 	return done
 }
 
-func (in *instance) admin() http.Handler {
+func (in *instance) adminHandler() http.Handler {
 	return admin.New(admin.Config{
 		Ready:   in.ready,
 		Rules:   in.rules,
@@ -148,10 +150,10 @@
 	})
 }
 
-// state returns what the metrics page shows of the control side.
+// state returns the state of the control plane for the metrics page.
 func (in *instance) state() admin.State {
 	r := in.membership.Roster()
-	links, calls, probes := in.links.Stats(), in.store.Stats(), in.budget.Stats()
+	links, storeCalls, probes := in.links.Stats(), in.store.Stats(), in.probeBudget.Stats()
 	s := admin.State{
 		Ready:            in.ready() == nil,
 		Generation:       in.generation.Load(),
@@ -165,11 +167,11 @@
 		ProbesRefused:    probes.Refused,
 		ProbesAgreed:     probes.AgreedMessagesPerSecond,
 		ProbeBytesAgreed: probes.AgreedBytesPerSecond,
-		StoreReads:       calls.Reads,
-		StoreWatches:     calls.Watches,
-		StoreWrites:      calls.Writes,
-		StoreFailures:    calls.Failures,
-		StoreUnsent:      calls.OverBudget + calls.BackedOff + calls.StatusDropped,
+		StoreReads:       storeCalls.Reads,
+		StoreWatches:     storeCalls.Watches,
+		StoreWrites:      storeCalls.Writes,
+		StoreFailures:    storeCalls.Failures,
+		StoreUnsent:      storeCalls.OverBudget + storeCalls.BackedOff + storeCalls.StatusDropped,
 	}
 	for _, server := range in.servers() {
 		s.Servers++
@@ -180,7 +182,7 @@
 	return s
 }
 
-// servers returns the endpoint servers as this gateway sees them.
+// servers returns the endpoint servers that this gateway knows.
 func (in *instance) servers() []admin.Server {
 	var servers []admin.Server
 	if in.catalog != nil {
@@ -198,59 +200,61 @@
 	return servers
 }
 
-// graceMargin is the part of the platform's grace, as one part in this many, that is
-// left for the end of the process after its last call.
-const graceMargin = 12
+// graceMarginDivisor divides the platform's grace period: the last of
+// graceMarginDivisor equal parts is reserved for ending the process after its last
+// call.
+const graceMarginDivisor = 12
 
-// stop ends the calls gracefully and returns how many were cut, which only an abort
-// and the end of the platform's grace do.
+// stop shuts down gracefully and returns how many calls in flight it aborted. Calls are
+// aborted only by Config.Abort and by the end of the platform's grace period.
 func (in *instance) stop() int {
 	event.Info(in.cfg.Logger, event.StopBegun).Int("InFlight", in.gateway.InFlight()).Send()
 	in.stopping.Store(true)
 	leaving := mustardsaddle.Mark{Name: in.self.Name, Incarnation: in.self.Incarnation, Seq: roster.FinalSeq, Leaving: true}
-	in.spreadFresh("", in.membership.marks(time.Now(), []mustardsaddle.Mark{leaving}))
+	in.floodNew("", in.membership.applyMarks(time.Now(), []mustardsaddle.Mark{leaving}))
 	in.gateway.SetStopping()
-	settings := in.current.Load().Stop
-	var over <-chan time.Time
-	if settings.Grace > 0 {
-		timer := time.NewTimer(settings.Grace - settings.Grace/graceMargin)
+	stop := in.current.Load().Stop
+	var graceExpired <-chan time.Time
+	if stop.Grace > 0 {
+		timer := time.NewTimer(stop.Grace - stop.Grace/graceMarginDivisor)
 		defer timer.Stop()
-		over = timer.C
+		graceExpired = timer.C
 	}
 	select {
-	case <-time.After(settings.Lag):
+	case <-time.After(stop.Lag):
 	case <-in.cfg.Abort:
 	}
-	return in.shutdown(over)
+	return in.shutdown(graceExpired)
 }
 
-// shutdown waits for the last call, until an abort or until the time is over, and
-// returns how many calls were cut.
-func (in *instance) shutdown(over <-chan time.Time) int {
+// shutdown waits for the calls in flight until all have finished, Config.Abort is
+// closed or the grace period has expired. It returns how many calls it aborted.
+func (in *instance) shutdown(graceExpired <-chan time.Time) int {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
-		_ = in.front.Shutdown(ctx) // it fails only by the end of its context
+		_ = in.callerServer.Shutdown(ctx) // fails only if its context is canceled
 	}()
 	select {
 	case <-stopped:
 		return 0
-	case <-over:
+	case <-graceExpired:
 	case <-in.cfg.Abort:
 	}
-	cut := in.gateway.InFlight()
+	aborted := in.gateway.InFlight()
 	cancel()
 	<-stopped
-	_ = in.front.Close()
-	return cut
+	_ = in.callerServer.Close()
+	return aborted
 }
 
-// close ends what is left after the last call.
+// close releases what is still open after the last call: the peer and admin servers,
+// the gateway and the metrics.
 func (in *instance) close() {
-	_ = in.side.Close()
-	_ = in.back.Close()
+	_ = in.peerServer.Close()
+	_ = in.adminServer.Close()
 	in.gateway.Close()
 	_ = in.metrics.Close()
 }
--- a/internal/product/instance/told.go
+++ b/internal/product/instance/told.go
@@ -9,61 +9,61 @@
 )
 
 const (
-	// minToldInterval is the least time for which generations are gathered.
-	minToldInterval = time.Second
-	// toldIntervalPerVM is the time for which generations are gathered for each
-	// gateway VM, so that their cost does not grow with the square of the fleet.
-	toldIntervalPerVM = 100 * time.Millisecond
+	// minGossipInterval is the minimum time for which generations are batched.
+	minGossipInterval = time.Second
+	// gossipIntervalPerVM is multiplied by the number of gateways to give the batching
+	// time, so that the cost does not grow with the square of the fleet size.
+	gossipIntervalPerVM = 100 * time.Millisecond
 )
 
-// followTold tells the peers which generations gateway VMs have in force, until
-// the context ends; then it closes done. The gateway that writes Rules/InForce
-// learns so of the VMs to which it has no link.
-func (in *instance) followTold(ctx context.Context, done chan<- struct{}) {
+// gossipGenerations broadcasts which generations the gateway VMs have in force, until
+// the context ends; then it closes done. The gateway that writes Rules/InForce learns
+// in this way about the VMs to which it has no link.
+func (in *instance) gossipGenerations(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
 	for {
 		gateways := in.membership.Roster().Gateways()
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(max(minToldInterval, time.Duration(gateways)*toldIntervalPerVM)):
+		case <-time.After(max(minGossipInterval, time.Duration(gateways)*gossipIntervalPerVM)):
 		}
-		for _, part := range news.SplitGenerations(in.freshTold()) {
+		for _, part := range news.SplitGenerations(in.newGenerations()) {
 			in.links.Broadcast(part)
 		}
 	}
 }
 
-// freshTold returns the generations that are still to be passed on.
-func (in *instance) freshTold() []news.Generation {
+// newGenerations returns the generations that have changed since its last call.
+func (in *instance) newGenerations() []news.Generation {
 	live := make(map[string]bool)
 	for _, vm := range in.membership.Roster().VMs() {
 		live[vm.Name] = true
 	}
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.told.Learn(in.self.Name, in.generation.Load())
-	in.told.Keep(func(name string) bool { return live[name] })
-	return in.told.Fresh()
+	in.fleetGenerations.Learn(in.self.Name, in.generation.Load())
+	in.fleetGenerations.Keep(func(name string) bool { return live[name] })
+	return in.fleetGenerations.Fresh()
 }
 
-// learn takes what a peer told of gateway VMs.
-func (in *instance) learn(m news.Generations) {
+// learnGenerations stores the generations of gateway VMs that a peer has sent.
+func (in *instance) learnGenerations(m news.Generations) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	for _, vm := range m.VMs {
-		in.told.Learn(vm.Name, vm.Generation)
+		in.fleetGenerations.Learn(vm.Name, vm.Generation)
 	}
 }
 
-// live returns the live gateway VMs with the generations that they told of.
-func (in *instance) live() []rule.VM {
+// liveGateways returns the live gateway VMs with their known generations, 0 if unknown.
+func (in *instance) liveGateways() []rule.VM {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	var vms []rule.VM
 	for _, vm := range in.membership.Roster().VMs() {
 		if !vm.Leaving {
-			vms = append(vms, rule.VM{Name: vm.Name, Generation: in.told.Of(vm.Name)})
+			vms = append(vms, rule.VM{Name: vm.Name, Generation: in.fleetGenerations.Of(vm.Name)})
 		}
 	}
 	return vms
--- a/internal/product/instance/told_test.go
+++ b/internal/product/instance/told_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// Rules/InForce names every gateway VM that has the rules in force, although the
-// gateway that writes it has links to few of them.
+// Rules/InForce lists every gateway VM that has the rules in force, although the
+// gateway that writes the object has links to only a few of them.
 func TestInForceNamesEveryGateway(t *testing.T) {
 	const gateways = 12
-	s := newSystem(t, 1)
-	s.submit(firstRules)
+	s := newCluster(t, 1)
+	s.submit(initialRules)
 	for i := range gateways {
 		s.addGateway(fmt.Sprintf("gateway-%02d", i))
 	}
-	eventually(t, patience, "the report of all gateways", func() bool {
+	eventually(t, waitTimeout, "all gateways in Rules/InForce", func() bool {
 		_, text := get(t, s.url+"/objects/Rules/InForce")
 		return strings.Count(text, "# VM Name=gateway-") == gateways
 	})
