--- a/internal/product/admin/admin.go
+++ b/internal/product/admin/admin.go
@@ -1,7 +1,7 @@
-// Package admin serves the operators' address of a gateway: health, readiness,
-// the rules in force, the servers as this gateway sees them, and metrics. Every
-// page is read-only; operators change what a gateway does by the rules file in
-// the platform's store alone.
+// Package admin implements the HTTP admin pages of a gateway for operators: health,
+// readiness, the rules in force, the known endpoint servers, and metrics. Every page
+// is read-only; operators change what a gateway does only through the rules file in the
+// platform's store.
 //
 // # Usage
 //
@@ -32,26 +32,26 @@
 // Config configures the admin pages. Every function must be safe for concurrent
 // use and answer from memory, so that the pages work while the platform is down.
 type Config struct {
-	// Ready returns nil while the gateway takes calls, and otherwise an error
-	// with a code that says why it doesn't.
+	// Ready returns nil while the gateway accepts calls, and otherwise an error with
+	// a result code and the reason.
 	Ready func() error
 	// Rules returns the rules file in force.
 	Rules func() Rules
-	// Servers returns the endpoint servers as this gateway sees them.
+	// Servers returns the endpoint servers that this gateway knows.
 	Servers func() []Server
-	// Metrics answers the metrics page.
+	// Metrics serves the metrics page.
 	Metrics http.Handler
 }
 
 // Rules is the rules file in force.
 type Rules struct {
-	// Generation is the number of the file; 0 means that there is none yet.
+	// Generation is the generation of the file; 0 means that there is no file yet.
 	Generation int64
-	// Text is the file.
+	// Text is the content of the file.
 	Text string
 }
 
-// Server is an endpoint server as this gateway sees it.
+// Server is an endpoint server that this gateway knows, as the servers page shows it.
 type Server struct {
 	mustardsaddle.Server
 }
@@ -74,7 +74,7 @@
 	cfg Config
 }
 
-// readOnly refuses every method but GET and HEAD.
+// readOnly rejects every method except GET and HEAD.
 func readOnly(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodGet && r.Method != http.MethodHead {
@@ -92,16 +92,16 @@
 	_, _ = fmt.Fprintln(w, "/healthz\n/readyz\n/rules\n/servers\n/metrics")
 }
 
-// health tells that the process runs and answers.
+// health reports that the process is running and responds.
 func (pages) health(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", textType)
 	_, _ = fmt.Fprintln(w, "Healthy")
 }
 
-// ready tells the platform's balancer whether to send calls here.
+// ready tells the platform's load balancer whether to send calls to this gateway.
 func (p pages) ready(w http.ResponseWriter, _ *http.Request) {
 	if err := p.cfg.Ready(); err != nil {
-		refuse(w, err)
+		writeUnavailable(w, err)
 		return
 	}
 	w.Header().Set("Content-Type", textType)
@@ -111,7 +111,7 @@
 func (p pages) rules(w http.ResponseWriter, _ *http.Request) {
 	rules := p.cfg.Rules()
 	if rules.Generation == 0 {
-		refuse(w, code.Errorf(code.CallNotReady, "this gateway has no rules yet"))
+		writeUnavailable(w, code.Errorf(code.CallNotReady, "this gateway has no rules yet"))
 		return
 	}
 	w.Header().Set("Content-Type", textType)
@@ -130,8 +130,8 @@
 	_ = enc.Encode(servers)
 }
 
-// refuse answers 503 with the code and the reason.
-func refuse(w http.ResponseWriter, err error) {
+// writeUnavailable responds with status 503, the result code and the reason.
+func writeUnavailable(w http.ResponseWriter, err error) {
 	n := code.Of(err)
 	w.Header().Set("Content-Type", textType)
 	w.Header().Set(header.Code, strconv.Itoa(int(n)))
--- a/internal/product/admin/admin_test.go
+++ b/internal/product/admin/admin_test.go
@@ -16,7 +16,7 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/header"
 )
 
-// state is what the admin pages show.
+// state is the state of the gateway under test.
 type state struct {
 	ready   error
 	rules   admin.Rules
@@ -42,19 +42,19 @@
 	convey.Convey("Given a gateway without rules", t, func() {
 		s := &state{ready: code.Errorf(code.CallNotReady, "no rules yet")}
 		h := handler(s)
-		convey.Convey("It is healthy but not ready, and says why", func() {
+		convey.Convey("It is healthy but not ready, and reports the reason", func() {
 			convey.So(get(h, http.MethodGet, "/healthz").Code, convey.ShouldEqual, http.StatusOK)
 			w := get(h, http.MethodGet, "/readyz")
 			convey.So(w.Code, convey.ShouldEqual, http.StatusServiceUnavailable)
 			convey.So(w.Header().Get(header.Code), convey.ShouldEqual, "4006")
 			convey.So(w.Body.String(), convey.ShouldEqual, "Code=4006 Name=CallNotReady Reason=\"no rules yet (code 4006)\"\n")
 		})
-		convey.Convey("It has no rules file to show", func() {
+		convey.Convey("The rules page responds with status 503", func() {
 			w := get(h, http.MethodGet, "/rules")
 			convey.So(w.Code, convey.ShouldEqual, http.StatusServiceUnavailable)
 			convey.So(w.Header().Get(header.Code), convey.ShouldEqual, "4006")
 		})
-		convey.Convey("Once rules are in force it is ready and shows them", func() {
+		convey.Convey("Once rules are in force, it is ready and shows them", func() {
 			s.ready, s.rules = nil, admin.Rules{Generation: 41, Text: "# Generation 41\n"}
 			convey.So(get(h, http.MethodGet, "/readyz").Code, convey.ShouldEqual, http.StatusOK)
 			w := get(h, http.MethodGet, "/rules")
@@ -62,7 +62,7 @@
 			convey.So(w.Header().Get(admin.GenerationHeader), convey.ShouldEqual, "41")
 			convey.So(w.Body.String(), convey.ShouldEqual, "# Generation 41\n")
 		})
-		convey.Convey("Pages can't be written, and other paths don't exist", func() {
+		convey.Convey("Pages are read-only, and other paths are not found", func() {
 			w := get(h, http.MethodPut, "/rules")
 			convey.So(w.Code, convey.ShouldEqual, http.StatusMethodNotAllowed)
 			convey.So(w.Header().Get("Allow"), convey.ShouldEqual, "GET, HEAD")
@@ -73,13 +73,13 @@
 }
 
 func TestServers(t *testing.T) {
-	convey.Convey("Given a gateway that knows servers", t, func() {
+	convey.Convey("Given the servers page of a gateway", t, func() {
 		s := &state{}
 		h := handler(s)
-		convey.Convey("No servers are an empty list", func() {
+		convey.Convey("Without servers the list is empty", func() {
 			convey.So(get(h, http.MethodGet, "/servers").Body.String(), convey.ShouldEqual, "[]\n")
 		})
-		convey.Convey("Each is listed as it is known", func() {
+		convey.Convey("Each known server is listed with all fields", func() {
 			s.servers = []admin.Server{
 				{Server: mustardsaddle.Server{
 					Name: "booking-01", Incarnation: 3, Address: "10.0.0.9:80", Service: "Booking", Zone: "zone-a",
@@ -105,13 +105,13 @@
 		convey.So(b.Close(), convey.ShouldBeNil)
 		pageA := get(a.Handler(), http.MethodGet, "/metrics").Body.String()
 		pageB := get(b.Handler(), http.MethodGet, "/metrics").Body.String()
-		convey.Convey("Each page shows its own, in the Prometheus format", func() {
+		convey.Convey("Each page shows only its own metrics, in the Prometheus format", func() {
 			convey.So(pageA, convey.ShouldContainSubstring, "# TYPE Mustardsaddle_Calls counter\nMustardsaddle_Calls{Server=\"booking-01\"} 3\n")
 			convey.So(pageA, convey.ShouldNotContainSubstring, "Mustardsaddle_Ready")
 			convey.So(pageB, convey.ShouldContainSubstring, "Mustardsaddle_Ready 1\n")
 			convey.So(pageB, convey.ShouldNotContainSubstring, "Mustardsaddle_Calls")
 		})
-		convey.Convey("The memory and processor time of the process are there", func() {
+		convey.Convey("The page includes the metrics of the Go runtime and the process", func() {
 			convey.So(pageA, convey.ShouldContainSubstring, "go_goroutines")
 			convey.So(pageA, convey.ShouldContainSubstring, "process_cpu_seconds_total")
 		})
@@ -128,14 +128,14 @@
 		}
 		calls := 0
 		done := make(chan struct{})
-		m.Follow(ctx, func() admin.State {
-			cancel() // so that the second state is the last one
+		m.ReportState(ctx, func() admin.State {
+			cancel() // makes the second state the last one
 			calls++
 			return states[calls-1]
 		}, done)
 		<-done
 		convey.So(m.Close(), convey.ShouldBeNil)
-		convey.Convey("The page shows the last values, and totals once", func() {
+		convey.Convey("The page shows the last state, and counts each total only once", func() {
 			page := get(m.Handler(), http.MethodGet, "/metrics").Body.String()
 			for _, line := range []string{"Ready 0", "Generation 42", "Probes 25", "ProbesAgreed 20"} {
 				convey.So(page, convey.ShouldContainSubstring, "\nMustardsaddle_"+line+"\n")
--- a/internal/product/admin/doc_test.go
+++ b/internal/product/admin/doc_test.go
@@ -13,20 +13,20 @@
 	"testing"
 )
 
-// metricKinds are the methods of a tally scope that make a metric.
+// metricKinds maps the methods of a tally scope that create a metric to its kind.
 var metricKinds = map[string]string{"Counter": "counter", "Gauge": "gauge", "Timer": "timer", "Histogram": "histogram"}
 
-// metrics returns the kind of each metric that the product makes, by name. A
-// metric is a call such as scope.Counter("Calls") with its name as a literal.
+// metrics returns the kind of each metric that the product creates, by name. It finds
+// calls such as scope.Counter("Calls") whose first argument is a string literal.
 func metrics(t *testing.T) map[string]string {
 	t.Helper()
-	found := make(map[string]string)
+	kinds := make(map[string]string)
 	err := filepath.WalkDir("../..", func(path string, _ fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		product := strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go") && !strings.Contains(path, "/standin/")
-		if !product {
+		isProduct := strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go") && !strings.Contains(path, "/standin/")
+		if !isProduct {
 			return nil
 		}
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
@@ -35,7 +35,7 @@
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
 			if name, kind, ok := metricOf(n); ok {
-				found[name] = kind
+				kinds[name] = kind
 			}
 			return true
 		})
@@ -44,10 +44,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return found
+	return kinds
 }
 
-// metricOf returns the metric that a call makes.
+// metricOf returns the metric that a node creates, if it is such a call.
 func metricOf(n ast.Node) (name, kind string, ok bool) {
 	call, isCall := n.(*ast.CallExpr)
 	if !isCall || len(call.Args) == 0 {
@@ -63,9 +63,10 @@
 	return name, kind, ok && err == nil
 }
 
-// TestTableNamesEveryMetric compares the code with the table of
-// docs/OPERATIONS.md, whose rows are | `Mustardsaddle_Name` | kind | labels |
-// meaning |. A scope within the scope adds a part before the name.
+// TestTableNamesEveryMetric checks that the table in docs/OPERATIONS.md lists exactly
+// the metrics in the code, with their kinds. Its rows have the form
+// | `Mustardsaddle_Name` | kind | labels | meaning |. A subscope adds a part before
+// the name.
 func TestTableNamesEveryMetric(t *testing.T) {
 	text, err := os.ReadFile("../../../docs/OPERATIONS.md")
 	if err != nil {
@@ -78,11 +79,11 @@
 	}
 	for name, kind := range metrics(t) {
 		if rows[name] != kind {
-			t.Errorf("docs/OPERATIONS.md has kind %q for metric %s; add or mend the row: | `Mustardsaddle_%s` | %s | labels | meaning |", rows[name], name, name, kind)
+			t.Errorf("docs/OPERATIONS.md has kind %q for metric %s; add or correct the row: | `Mustardsaddle_%s` | %s | labels | meaning |", rows[name], name, name, kind)
 		}
 		delete(rows, name)
 	}
 	for name := range rows {
-		t.Errorf("docs/OPERATIONS.md has a row for metric %s, which the code lacks", name)
+		t.Errorf("docs/OPERATIONS.md has a row for metric %s, which is not in the code", name)
 	}
 }
--- a/internal/product/admin/metrics.go
+++ b/internal/product/admin/metrics.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// metricPrefix begins the name of each metric of ours.
+	// metricPrefix is the prefix of the name of each metric of the gateway itself.
 	metricPrefix = "Mustardsaddle"
-	// separator joins the parts of a metric's name.
+	// separator separates the parts of a metric's name.
 	separator = "_"
 	// defaultInterval is the time between two updates of the metrics page.
 	defaultInterval = time.Second
@@ -24,12 +24,13 @@
 type MetricsConfig struct {
 	// Interval is the time between two updates of the page; 0 means 1 s.
 	Interval time.Duration
-	// OnError, if set, takes errors of metrics that clash, which are left out.
+	// OnError, if set, is called with the error for each metric that conflicts with
+	// another and is therefore left out.
 	OnError func(err error)
 }
 
-// Metrics collects the metrics of one gateway. Each has a registry of its own,
-// so that several gateways in one process don't mix.
+// Metrics collects the metrics of one gateway. Each Metrics has its own registry, so
+// that the metrics of several gateways in one process stay separate.
 type Metrics struct {
 	scope    tally.Scope
 	interval time.Duration
@@ -39,7 +40,7 @@
 
 var _ io.Closer = (*Metrics)(nil)
 
-// NewMetrics starts the collection. Its goroutine ends in Close.
+// NewMetrics starts the collection in a goroutine that ends when Close is called.
 func NewMetrics(cfg MetricsConfig) *Metrics {
 	if cfg.Interval == 0 {
 		cfg.Interval = defaultInterval
@@ -56,13 +57,13 @@
 		Prefix:                 metricPrefix,
 		Separator:              separator,
 		CachedReporter:         reporter,
-		SanitizeOptions:        sanitize(),
+		SanitizeOptions:        sanitizeOptions(),
 		OmitCardinalityMetrics: true,
 	}, cfg.Interval)
 	return &Metrics{scope: scope, interval: cfg.Interval, closer: closer, handler: reporter.HTTPHandler()}
 }
 
-// Scope returns the scope in which the parts of a gateway make their metrics.
+// Scope returns the scope in which the components of a gateway create their metrics.
 func (m *Metrics) Scope() tally.Scope {
 	return m.scope
 }
@@ -72,14 +73,14 @@
 	return m.handler
 }
 
-// Close makes a last update of the page and ends the collection.
+// Close updates the page a last time and ends the collection.
 func (m *Metrics) Close() error {
 	return m.closer.Close()
 }
 
-// sanitize keeps names to what Prometheus accepts, and lets values be the names
-// and addresses of VMs.
-func sanitize() *tally.SanitizeOptions {
+// sanitizeOptions returns the characters that are allowed: in names, those that
+// Prometheus accepts; in label values, also those in the names and addresses of VMs.
+func sanitizeOptions() *tally.SanitizeOptions {
 	name := tally.ValidCharacters{Ranges: tally.AlphanumericRange, Characters: tally.UnderscoreCharacters}
 	value := tally.ValidCharacters{Ranges: tally.AlphanumericRange, Characters: []rune{'_', '-', '.', ':', '/'}}
 	return &tally.SanitizeOptions{
--- a/internal/product/admin/state.go
+++ b/internal/product/admin/state.go
@@ -7,10 +7,10 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// State is what the metrics page says about the control side of a gateway, apart
-// from the calls. Totals count from the start of the process.
+// State is the state of the control plane of a gateway that the metrics page shows
+// besides the metrics of calls. Totals count from the start of the process.
 type State struct {
-	// Ready is true while the gateway takes calls.
+	// Ready is true while the gateway accepts calls.
 	Ready bool
 	// Generation is the generation of the rules in force.
 	Generation int64
@@ -18,31 +18,31 @@
 	InFlight int
 	// Gateways is the number of live gateways, this one included.
 	Gateways int
-	// Servers is the number of known endpoint servers, Leaving that of those that
-	// leave.
+	// Servers is the number of known endpoint servers, and Leaving the number of those
+	// that are leaving.
 	Servers, Leaving int
 	// Links is the number of links to other gateways.
 	Links int
-	// PeerMessages and PeerBytes are the totals sent and received on links.
+	// PeerMessages and PeerBytes are the totals sent and received over links.
 	PeerMessages, PeerBytes int64
-	// Probes and ProbeBytes are the totals spent on load probes, ProbesRefused
-	// those that the budget did not allow.
+	// Probes and ProbeBytes are the totals charged to the budget for load probes, and
+	// ProbesRefused is the total of probes that the budget did not allow.
 	Probes, ProbeBytes, ProbesRefused int64
-	// ProbesAgreed and ProbeBytesAgreed are the agreed rates, a second.
+	// ProbesAgreed and ProbeBytesAgreed are the configured limits per second.
 	ProbesAgreed, ProbeBytesAgreed float64
-	// StoreReads, StoreWatches and StoreWrites are the totals of calls sent to
-	// the platform; StoreFailures of those without a usable answer, StoreUnsent
-	// of those held back by the budget or the circuit breaker.
+	// StoreReads, StoreWatches and StoreWrites are the totals of requests sent to the
+	// platform. StoreFailures is the total of those without a usable response, and
+	// StoreUnsent of those that the budget or the circuit breaker held back.
 	StoreReads, StoreWatches, StoreWrites, StoreFailures, StoreUnsent int64
 }
 
-// stateMetrics are the gauges of a State.
+// stateMetrics are the gauges and counters that show a State.
 type stateMetrics struct {
-	ready, generation, inFlight, gateways, servers, leaving, links        tally.Gauge
-	peerMessages, peerBytes                                               tally.Counter
-	probes, probeBytes, probesRefused                                     tally.Counter
-	probesAgreed, probeBytesAgreed                                        tally.Gauge
-	storeReads, storeWatches, storeWrites, storeFailures, storeCallUnsent tally.Counter
+	ready, generation, inFlight, gateways, servers, leaving, links    tally.Gauge
+	peerMessages, peerBytes                                           tally.Counter
+	probes, probeBytes, probesRefused                                 tally.Counter
+	probesAgreed, probeBytesAgreed                                    tally.Gauge
+	storeReads, storeWatches, storeWrites, storeFailures, storeUnsent tally.Counter
 }
 
 func newStateMetrics(scope tally.Scope) stateMetrics {
@@ -65,11 +65,12 @@
 		storeWatches:     scope.Counter("StoreWatches"),
 		storeWrites:      scope.Counter("StoreWrites"),
 		storeFailures:    scope.Counter("StoreFailures"),
-		storeCallUnsent:  scope.Counter("StoreUnsent"),
+		storeUnsent:      scope.Counter("StoreUnsent"),
 	}
 }
 
-// update shows the next state; old is the one shown before.
+// update sets the gauges to the next state, and raises the counters by the difference
+// from the old state, which was shown before.
 func (m stateMetrics) update(old, next State) {
 	ready := 0.0
 	if next.Ready {
@@ -93,13 +94,13 @@
 	m.storeWatches.Inc(next.StoreWatches - old.StoreWatches)
 	m.storeWrites.Inc(next.StoreWrites - old.StoreWrites)
 	m.storeFailures.Inc(next.StoreFailures - old.StoreFailures)
-	m.storeCallUnsent.Inc(next.StoreUnsent - old.StoreUnsent)
+	m.storeUnsent.Inc(next.StoreUnsent - old.StoreUnsent)
 }
 
-// Follow shows the state on the metrics page, anew at each interval, until the
-// context ends; then it shows the state once more and closes done. The function
+// ReportState updates the metrics page with the state at each interval until the
+// context ends; then it updates the page once more and closes done. The state function
 // must answer from memory.
-func (m *Metrics) Follow(ctx context.Context, state func() State, done chan<- struct{}) {
+func (m *Metrics) ReportState(ctx context.Context, state func() State, done chan<- struct{}) {
 	defer close(done)
 	metrics := newStateMetrics(m.scope)
 	ticker := time.NewTicker(m.interval)
--- a/internal/product/instance/serve.go
+++ b/internal/product/instance/serve.go
@@ -117,7 +117,7 @@
 			_ = in.links.Run(ctx)
 		}),
 		startComponent(ctx, in.followSettings),
-		startComponent(ctx, func(ctx context.Context, done chan<- struct{}) { in.metrics.Follow(ctx, in.state, done) }),
+		startComponent(ctx, func(ctx context.Context, done chan<- struct{}) { in.metrics.ReportState(ctx, in.state, done) }),
 	}
 	if in.catalog != nil {
 		return append(components,
