--- a/internal/product/command/check.go
+++ b/internal/product/command/check.go
@@ -10,9 +10,9 @@
 	"mustardsaddle.example/mustardsaddle/internal/control/store"
 )
 
-const checkAbout = `Checks a settings file, a rules file or both, and lists every mistake, one a
-line, with its line number and result code; docs/CODES.md explains the codes.
-Nothing is opened or sent.
+const checkAbout = `Checks a settings file, a rules file or both, and lists every mistake on a
+line of its own, with its line number and result code; docs/CODES.md explains
+the codes. No listener or connection is opened.
 
 Examples:
   mustardsaddle check --settings gateway.ini
@@ -25,13 +25,13 @@
 	cfg Config
 }
 
-// Execute lists the mistakes of the files.
+// Execute lists the mistakes in the files.
 func (c *check) Execute(args []string) error {
 	if err := NoArguments(args); err != nil {
 		return err
 	}
 	if c.Settings == "" && c.Rules == "" {
-		return Failf(Usage, "check wants --settings FILE, --rules FILE or both")
+		return Failf(Usage, "check needs --settings FILE, --rules FILE or both")
 	}
 	n := 0
 	if c.Settings != "" {
@@ -46,37 +46,37 @@
 		n += printRules(c.cfg.Out, c.Rules, problems)
 	}
 	if n > 0 {
-		return Failf(Mistakes, "%d found", n)
+		return Failf(Mistakes, "%d mistake(s) found", n)
 	}
 	return nil
 }
 
-// printSettings prints the problems of a settings file, and returns their number.
+// printSettings prints the problems found in a settings file, and returns their number.
 func printSettings(w io.Writer, path string, problems []settings.Problem) int {
 	for _, p := range problems {
 		_, _ = fmt.Fprintf(w, "%s: %v\n", path, p)
 	}
-	printNone(w, path, len(problems))
+	printNoMistakes(w, path, len(problems))
 	return len(problems)
 }
 
-// printRules prints the problems of a rules file, and returns their number.
+// printRules prints the problems found in a rules file, and returns their number.
 func printRules(w io.Writer, path string, problems []rule.Problem) int {
 	for _, p := range problems {
 		_, _ = fmt.Fprintf(w, "%s: line %d: %s (code %d %s)\n", path, p.Line, p.Text, int(p.Code), p.Code)
 	}
-	printNone(w, path, len(problems))
+	printNoMistakes(w, path, len(problems))
 	return len(problems)
 }
 
-func printNone(w io.Writer, path string, n int) {
+func printNoMistakes(w io.Writer, path string, n int) {
 	if n == 0 {
 		_, _ = fmt.Fprintf(w, "%s: no mistakes\n", path)
 	}
 }
 
-// readRules reads a rules file as a gateway would take it from the store, and
-// returns its text and mistakes.
+// readRules reads a rules file with the size limit and the checks that apply to rules
+// from the store, and returns its text and mistakes.
 func readRules(path string) (string, []rule.Problem, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/product/command/command.go
+++ b/internal/product/command/command.go
@@ -1,6 +1,6 @@
-// Package command is the command line of the load balancer: it reads the
-// arguments, runs one command and turns its end into an exit status. Commands
-// write to the given writers only, so that each can be tested as a function.
+// Package command implements the command line of the load balancer: it parses the
+// arguments, runs one command and maps its result to an exit status. Commands write
+// only to the given writers, so that each can be tested as a function.
 //
 // # Usage
 //
@@ -26,20 +26,20 @@
 type Status int
 
 const (
-	// Done means that the command did what was asked.
+	// Done means that the command succeeded.
 	Done Status = iota
 	// Failed means that the command failed while it ran.
 	Failed
-	// Usage means a mistake in the arguments.
+	// Usage means that the arguments are invalid.
 	Usage
-	// Mistakes means that a settings or rules file has mistakes, all of which
-	// were listed.
+	// Mistakes means that a settings or rules file has mistakes; all of them have
+	// been listed.
 	Mistakes
-	// NoMatch means that explain found no rule, or trace no line.
+	// NoMatch means that explain found no matching rule, or trace no matching log line.
 	NoMatch
 )
 
-const about = `mustardsaddle is a load balancer for servers whose load shifts in milliseconds.
+const about = `mustardsaddle is a load balancer for servers whose load changes within milliseconds.
 
 Examples:
   mustardsaddle settings > gateway.ini
@@ -49,33 +49,34 @@
   mustardsaddle trace 9c41d07be2a35f68 gateway-1.log
 
 Exit status:
-  0  done
-  1  failed while running
-  2  mistake in the arguments
-  3  mistakes in a settings or rules file, all listed
-  4  no rule matches (explain), no line of the request (trace)`
+  0  success
+  1  failure while the command ran
+  2  invalid arguments
+  3  mistakes in a settings or rules file, all of them listed
+  4  no rule matches (explain), or no log line names the request (trace)`
 
 // Config configures a run of the command line.
 type Config struct {
-	// In is what trace reads if it is given no files; nil means nothing.
+	// In is the standard input, which trace reads if no files are named; nil means empty
+	// input.
 	In io.Reader
-	// Out takes results, and the log of serve.
+	// Out is the standard output, for results and for the log of serve.
 	Out io.Writer
-	// Err takes messages.
+	// Err is the standard error, for messages.
 	Err io.Writer
-	// Hangup takes the signals that ask for the settings to be read again.
+	// Hangup delivers the signals on which serve reloads the settings file.
 	Hangup <-chan os.Signal
 	// Serve runs a gateway until the context ends.
 	Serve func(ctx context.Context, g Gateway) error
 }
 
-// Gateway is what serve runs.
+// Gateway configures the gateway that serve runs.
 type Gateway struct {
-	// Settings are the checked settings.
+	// Settings are the validated settings.
 	Settings settings.Settings
-	// Reloads brings later settings, checked too.
+	// Reloads delivers new settings, also validated, after a reload.
 	Reloads <-chan settings.Settings
-	// Logger takes the log events.
+	// Logger receives the log events.
 	Logger zerolog.Logger
 }
 
@@ -92,7 +93,7 @@
 		{"serve", "Run a gateway", serveAbout, &serve{ctx: ctx, cfg: cfg}},
 		{"check", "List every mistake in settings and rules", checkAbout, &check{cfg: cfg}},
 		{"explain", "Show which rule matches a request, and why", explainAbout, &explain{cfg: cfg}},
-		{"trace", "Show what was logged about one request", traceAbout, &trace{cfg: cfg}},
+		{"trace", "Show the log lines about one request", traceAbout, &trace{cfg: cfg}},
 		{"settings", "Print an annotated settings file", settingsAbout, &example{cfg: cfg}},
 		{"version", "Print the version", versionAbout, &version{cfg: cfg}},
 	}
--- a/internal/product/command/command_test.go
+++ b/internal/product/command/command_test.go
@@ -26,8 +26,8 @@
 	badRules = "# Generation 1\nPath=/rosters Service=Booking\nPath=/a Service=A Color=Red # Tan: a colour\nPath=/b # Tan: no service\n"
 )
 
-// files writes the inputs of the tests, and returns their directory.
-func files(t *testing.T) string {
+// writeFiles writes the input files of the tests to a directory, and returns its path.
+func writeFiles(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	for name, text := range map[string]string{
@@ -40,7 +40,8 @@
 	return dir
 }
 
-// run runs the command line; DIR in the arguments stands for the directory.
+// run runs a command line in which DIR stands for the directory. The gateway that serve
+// starts logs one line and returns the error serve.
 func run(dir, line string, serve error) (status command.Status, stdout, stderr string) {
 	var out, err bytes.Buffer
 	cfg := command.Config{Out: &out, Err: &err, Serve: func(_ context.Context, g command.Gateway) error {
@@ -52,7 +53,7 @@
 }
 
 func TestCommands(t *testing.T) {
-	dir := files(t)
+	dir := writeFiles(t)
 	cases := []struct {
 		line   string
 		status command.Status
@@ -73,14 +74,14 @@
 		{"serve --settings", command.Usage, nil, []string{"expected argument"}},
 		{"serve --settings DIR/none.ini", command.Mistakes, nil, []string{"none.ini", "code 1001"}},
 		{"serve --settings DIR", command.Mistakes, nil, []string{"code 1001"}},
-		{"serve --settings DIR/bad.ini", command.Mistakes, nil, []string{"Listen", "code 1002", "code 1004", "code 1005", "3 in"}},
+		{"serve --settings DIR/bad.ini", command.Mistakes, nil, []string{"Listen", "code 1002", "code 1004", "code 1005", "3 mistake(s) in"}},
 		{"serve --settings DIR/good.ini", command.Done, []string{`"Event":1001`, `"Level":"Info"`, `"Gateway":"g1"`, `"Zone":"a"`}, nil},
 
 		{"check", command.Usage, nil, []string{"--settings FILE"}},
 		{"check --settings DIR/good.ini --rules DIR/good.txt", command.Done, []string{"good.ini: no mistakes", "good.txt: no mistakes"}, nil},
-		{"check --settings DIR/bad.ini", command.Mistakes, []string{"line 5: [Gateway] Listen", "[Platfrm]", "[Platform] URL"}, []string{"3 found"}},
-		{"check --rules DIR/bad.txt", command.Mistakes, []string{"line 2: ", "code 2005", "line 3: ", "code 2002", "line 4: ", "code 2004"}, []string{"3 found"}},
-		{"check --settings DIR/bad.ini --rules DIR/bad.txt", command.Mistakes, []string{"bad.ini", "bad.txt"}, []string{"6 found"}},
+		{"check --settings DIR/bad.ini", command.Mistakes, []string{"line 5: [Gateway] Listen", "[Platfrm]", "[Platform] URL"}, []string{"3 mistake(s) found"}},
+		{"check --rules DIR/bad.txt", command.Mistakes, []string{"line 2: ", "code 2005", "line 3: ", "code 2002", "line 4: ", "code 2004"}, []string{"3 mistake(s) found"}},
+		{"check --settings DIR/bad.ini --rules DIR/bad.txt", command.Mistakes, []string{"bad.ini", "bad.txt"}, []string{"6 mistake(s) found"}},
 		{"check --rules DIR/none.txt", command.Failed, nil, []string{"none.txt"}},
 		{"check --rules DIR", command.Failed, nil, []string{"can't read rules"}},
 
@@ -91,12 +92,12 @@
 		{"explain GET ftp://a/rosters --rules DIR/good.txt", command.Usage, nil, []string{"ftp://a/rosters"}},
 		{"explain GET http://%zz/ --rules DIR/good.txt", command.Usage, nil, []string{"http://%zz/"}},
 		{"explain GET /rosters --rules DIR/none.txt", command.Failed, nil, []string{"none.txt"}},
-		{"explain GET /rosters --rules DIR/bad.txt", command.Mistakes, nil, []string{"code 2005", "3 in"}},
+		{"explain GET /rosters --rules DIR/bad.txt", command.Mistakes, nil, []string{"code 2005", "3 mistake(s) in"}},
 		{"explain GET /rosters --rules DIR/good.txt", command.Done, []string{"matches line 2: Path=/rosters", "2s", "Yes, by default for GET", "Mei Lin"}, nil},
 		{"explain POST http://gw/bookings --rules DIR/good.txt", command.Done, []string{"line 3", "No, by the rule", "default, [Limits] Deadline"}, nil},
 		{"explain GET /plans/lathe/2 --rules DIR/good.txt", command.Done, []string{"line 4", "Service   Plans"}, nil},
 		{"explain GET /plans/all --rules DIR/good.txt", command.Done, []string{"matches line 5", "less specific: line 4"}, nil},
-		{"explain HEAD /plans/all --rules DIR/good.txt", command.Done, []string{"matches line 5", "GET. It covers", "Yes, by default for HEAD"}, nil},
+		{"explain HEAD /plans/all --rules DIR/good.txt", command.Done, []string{"matches line 5", "GET, which covers", "Yes, by default for HEAD"}, nil},
 		{"explain GET /plans/../rosters --rules DIR/good.txt", command.NoMatch, nil, []string{"no rule matches"}},
 		{"explain GET /bookings --rules DIR/good.txt", command.NoMatch, []string{"with method POST it would match line 3"}, []string{"no rule matches GET /bookings"}},
 		{"explain GET /none --rules DIR/good.txt", command.NoMatch, nil, []string{"no rule matches GET /none"}},
@@ -105,16 +106,16 @@
 		t.Run(c.line, func(t *testing.T) {
 			status, stdout, stderr := run(dir, c.line, nil)
 			if status != c.status {
-				t.Errorf("got status %v, want %v; output %q %q", status, c.status, stdout, stderr)
+				t.Errorf("got status %v, want %v; standard output %q, standard error %q", status, c.status, stdout, stderr)
 			}
 			for _, want := range c.stdout {
 				if !strings.Contains(stdout, want) {
-					t.Errorf("standard output %q lacks %q", stdout, want)
+					t.Errorf("got standard output %q, want it to contain %q", stdout, want)
 				}
 			}
 			for _, want := range c.stderr {
 				if !strings.Contains(stderr, want) {
-					t.Errorf("standard error %q lacks %q", stderr, want)
+					t.Errorf("got standard error %q, want it to contain %q", stderr, want)
 				}
 			}
 		})
@@ -122,10 +123,10 @@
 }
 
 func TestServeFails(t *testing.T) {
-	dir := files(t)
-	convey.Convey("A gateway that ends with an error gives its text and status 1", t, func() {
-		status, _, stderr := run(dir, "serve --settings DIR/good.ini", errors.New("open callers' address"))
+	dir := writeFiles(t)
+	convey.Convey("If the gateway ends with an error, its text is printed and the status is 1", t, func() {
+		status, _, stderr := run(dir, "serve --settings DIR/good.ini", errors.New("listen on callers' address"))
 		convey.So(status, convey.ShouldEqual, command.Failed)
-		convey.So(stderr, convey.ShouldContainSubstring, "mustardsaddle: open callers' address")
+		convey.So(stderr, convey.ShouldContainSubstring, "mustardsaddle: listen on callers' address")
 	})
 }
--- a/internal/product/command/explain.go
+++ b/internal/product/command/explain.go
@@ -13,10 +13,10 @@
 	"mustardsaddle.example/mustardsaddle/internal/control/rule"
 )
 
-const explainAbout = `Shows the rule that matches a request, and why: the line, each field, and
-whether the request may be sent again. Less specific rules that match as well
-are listed below it. If none matches, rules that match but for their method are
-listed. A path with a . or .. segment matches none.
+const explainAbout = `Shows the rule that matches a request, and why: its line, each field, and
+whether the request may be retried. Less specific rules that also match are
+listed below it. If no rule matches, the rules that differ only in the method
+are listed. A path with a . or .. segment matches no rule.
 
 Examples:
   mustardsaddle explain GET /rosters --rules rules.txt
@@ -26,7 +26,7 @@
 	Rules string `long:"rules" short:"r" value-name:"FILE" description:"rules file" required:"true"`
 	Args  struct {
 		Method string `positional-arg-name:"METHOD" description:"method, such as GET"`
-		URL    string `positional-arg-name:"URL" description:"path, or http URL if rules name hosts"`
+		URL    string `positional-arg-name:"URL" description:"path, or http URL if the rules name hosts"`
 	} `positional-args:"true" required:"true"`
 
 	cfg Config
@@ -47,18 +47,19 @@
 	}
 	if len(problems) > 0 {
 		n := printRules(c.cfg.Err, c.Rules, problems)
-		return Failf(Mistakes, "%d in %s", n, c.Rules)
+		return Failf(Mistakes, "%d mistake(s) in %s", n, c.Rules)
 	}
 	file, _ := rule.Parse(text)
 	steps := rule.Compile(file).Explain(r)
 	if !slices.ContainsFunc(steps, func(s rule.Step) bool { return s.Verdict == rule.Chosen }) {
-		return c.noMatch(r, steps, linesOf(text))
+		return c.printNoMatch(r, steps, newRuleLines(text))
 	}
-	c.match(r, steps, linesOf(text))
+	c.printMatch(r, steps, newRuleLines(text))
 	return nil
 }
 
-// newRequest returns the request that a caller would send.
+// newRequest returns the request that a caller would send with a method and an address,
+// or an error with status Usage if either is invalid.
 func newRequest(method, address string) (*http.Request, error) {
 	if !httpguts.ValidHeaderFieldName(method) || strings.ToUpper(method) != method {
 		return nil, Failf(Usage, "got method %q, want one such as GET or POST", method)
@@ -67,96 +68,97 @@
 	if err != nil {
 		return nil, Failf(Usage, "got URL %q, want a path or an http URL: %v", address, err)
 	}
-	path := u.Scheme == "" && u.Host == ""
-	absolute := (u.Scheme == "http" || u.Scheme == "https") && u.Hostname() != ""
-	if !path && !absolute || !strings.HasPrefix(u.Path, "/") {
+	isPath := u.Scheme == "" && u.Host == ""
+	isAbsolute := (u.Scheme == "http" || u.Scheme == "https") && u.Hostname() != ""
+	if !isPath && !isAbsolute || !strings.HasPrefix(u.Path, "/") {
 		return nil, Failf(Usage, "got URL %q, want a path such as /rosters or a URL such as http://sheds.example/rosters", address)
 	}
 	return &http.Request{Method: method, URL: u, Host: u.Host, Header: http.Header{}}, nil
 }
 
-// lines finds the line of each rule in the text as the operator wrote it.
-type lines map[rule.ID]string
+// ruleLines maps each rule to its line number and line in the text of the rules file.
+type ruleLines map[rule.ID]string
 
-func linesOf(text string) lines {
-	byID := make(lines)
+func newRuleLines(text string) ruleLines {
+	byID := make(ruleLines)
 	for i, line := range strings.Split(text, "\n") {
 		file, _ := rule.Parse(line)
-		for _, found := range file.Rules() {
-			byID[found.ID()] = fmt.Sprintf("line %d: %s", i+1, strings.TrimSpace(line))
+		for _, matched := range file.Rules() {
+			byID[matched.ID()] = fmt.Sprintf("line %d: %s", i+1, strings.TrimSpace(line))
 		}
 	}
 	return byID
 }
 
-// match prints the chosen rule, and the rules that match as well.
-func (c *explain) match(r *http.Request, steps []rule.Step, at lines) {
+// printMatch prints the chosen rule and the less specific rules that also match.
+func (c *explain) printMatch(r *http.Request, steps []rule.Step, byID ruleLines) {
 	for _, step := range steps {
 		switch step.Verdict {
 		case rule.Chosen:
-			c.print("%s %s matches %s\n", r.Method, r.URL, at[step.Rule.ID()])
-			c.fields(r, step.Rule)
+			c.print("%s %s matches %s\n", r.Method, r.URL, byID[step.Rule.ID()])
+			c.printFields(r, step.Rule)
 		case rule.LessSpecific:
-			c.print("less specific: %s\n", at[step.Rule.ID()])
+			c.print("less specific: %s\n", byID[step.Rule.ID()])
 		default:
-			// The rule doesn't match.
+			// The rule does not match.
 		}
 	}
 }
 
-func (c *explain) fields(r *http.Request, found rule.Rule) {
-	c.print("  Host      %s\n", because(found.Host, "Any host", "The request names this host"))
-	c.print("  Path      %s, which matches %s\n", found.Path, r.URL.Path)
-	c.print("  Method    %s\n", because(found.Method, "Any method", "It covers the request's method"))
-	c.print("  Service   %s\n", found.Service)
+func (c *explain) printFields(r *http.Request, matched rule.Rule) {
+	c.print("  Host      %s\n", describeField(matched.Host, "any host", "the request names"))
+	c.print("  Path      %s, which matches %s\n", matched.Path, r.URL.Path)
+	c.print("  Method    %s\n", describeField(matched.Method, "any method", "covers the request's method"))
+	c.print("  Service   %s\n", matched.Service)
 	deadline := "the gateway's default, [Limits] Deadline"
-	if found.Deadline > 0 {
-		deadline = found.Deadline.String()
+	if matched.Deadline > 0 {
+		deadline = matched.Deadline.String()
 	}
 	c.print("  Deadline  %s\n", deadline)
-	c.print("  Repeat    %s\n", repeatText(found, r.Method))
-	c.limits(found)
-	c.print("  Who       %s\n", found.Who)
+	c.print("  Repeat    %s\n", describeRepeat(matched, r.Method))
+	c.printLimits(matched)
+	c.print("  Who       %s\n", matched.Who)
 }
 
-// limits prints the fields that a rule may leave out.
-func (c *explain) limits(found rule.Rule) {
-	if found.Attempts > 0 {
-		c.print("  Attempts  %d servers at most\n", found.Attempts)
+// printLimits prints the priority of a rule, and the optional limits that it sets.
+func (c *explain) printLimits(matched rule.Rule) {
+	if matched.Attempts > 0 {
+		c.print("  Attempts  at most %d servers\n", matched.Attempts)
 	}
-	if found.Target > 0 {
-		c.print("  Target    %s\n", found.Target)
+	if matched.Target > 0 {
+		c.print("  Target    %s\n", matched.Target)
 	}
-	c.print("  Priority  %d, of which 0 is the highest\n", found.Priority)
+	c.print("  Priority  %d (0 is the highest)\n", matched.Priority)
 }
 
-func because(value, none, some string) string {
+func describeField(value, none, reason string) string {
 	if value == "" {
 		return none
 	}
-	return value + ". " + some
+	return value + ", which " + reason
 }
 
-func repeatText(found rule.Rule, method string) string {
+func describeRepeat(matched rule.Rule, method string) string {
 	reason := "by default for " + method
-	if found.RepeatSet {
+	if matched.RepeatSet {
 		reason = "by the rule"
 	}
-	switch found.RepeatOf(method) {
+	switch matched.RepeatOf(method) {
 	case mustardsaddle.RepeatYes:
-		return "Yes, " + reason + ": may be sent again if an attempt fails"
+		return "Yes, " + reason + ": may be retried if an attempt fails"
 	case mustardsaddle.RepeatClaim:
-		return "Claim, " + reason + ": runs at most once for each Idempotency-Key, also over the caller's retries"
+		return "Claim, " + reason + ": runs at most once for each Idempotency-Key, even if the caller retries"
 	default:
 		return "No, " + reason + ": runs at most once for each call"
 	}
 }
 
-// noMatch prints the rules that match but for their method.
-func (c *explain) noMatch(r *http.Request, steps []rule.Step, at lines) error {
+// printNoMatch prints the rules that differ from the request only in the method, and
+// returns the error with status NoMatch.
+func (c *explain) printNoMatch(r *http.Request, steps []rule.Step, byID ruleLines) error {
 	for _, step := range steps {
 		if step.Verdict == rule.OtherMethod {
-			c.print("with method %s it would match %s\n", step.Rule.Method, at[step.Rule.ID()])
+			c.print("with method %s it would match %s\n", step.Rule.Method, byID[step.Rule.ID()])
 		}
 	}
 	return Failf(NoMatch, "no rule matches %s %s", r.Method, r.URL)
--- a/internal/product/command/parser.go
+++ b/internal/product/command/parser.go
@@ -8,20 +8,21 @@
 	"github.com/juju/errors"
 )
 
-// Parser reads the arguments of a program with several commands.
+// Parser parses the arguments of a program with several commands.
 type Parser struct {
 	flags *flags.Parser
 	err   error
 }
 
-// NewParser returns a parser without commands; about is the text of --help.
+// NewParser returns a parser without commands; about is the description that --help
+// prints.
 func NewParser(program, about string) *Parser {
 	p := &Parser{flags: flags.NewNamedParser(program, flags.HelpFlag|flags.PassDoubleDash)}
 	p.flags.LongDescription = about
 	return p
 }
 
-// Add adds a command. A mistake in its tags is reported by Run.
+// Add adds a command. Run reports an error in the struct tags of the command.
 func (p *Parser) Add(name, short, long string, command flags.Commander) {
 	_, err := p.flags.AddCommand(name, short, long, command)
 	if p.err == nil {
@@ -29,8 +30,8 @@
 	}
 }
 
-// Run runs the command that the arguments name, prints how it failed if it did,
-// and returns the exit status.
+// Run runs the command that the arguments name, prints the error if it fails, and
+// returns the exit status.
 func (p *Parser) Run(stdout, stderr io.Writer, args []string) Status {
 	err := p.err
 	if err == nil {
@@ -51,7 +52,7 @@
 	return Failed
 }
 
-// usage prints the help that was asked for, or what is wrong with the arguments.
+// usage prints the requested help, or the error in the arguments.
 func (p *Parser) usage(stdout, stderr io.Writer, err *flags.Error) Status {
 	if err.Type == flags.ErrHelp {
 		_, _ = fmt.Fprintln(stdout, err.Message)
@@ -61,18 +62,18 @@
 	return Usage
 }
 
-// statusError is an error that ends the process with its own status.
+// statusError is an error with the exit status of the process.
 type statusError struct {
 	status Status
 	error
 }
 
-// Failf returns an error that ends the process with the given status.
+// Failf returns an error with which the process exits with the given status.
 func Failf(status Status, format string, args ...any) error {
 	return statusError{status: status, error: errors.Errorf(format, args...)}
 }
 
-// NoArguments refuses arguments that a command has no use for.
+// NoArguments returns an error with status Usage if there are arguments left over.
 func NoArguments(args []string) error {
 	if len(args) > 0 {
 		return Failf(Usage, "got argument %q, want none; try --help", args[0])
--- a/internal/product/command/reload.go
+++ b/internal/product/command/reload.go
@@ -11,40 +11,40 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/settings"
 )
 
-// reloadInterval is the time between looks at the settings file, which may change
-// without a signal.
+// reloadInterval is the interval at which the settings file is checked for changes,
+// since it may change without a signal.
 const reloadInterval = time.Second
 
-// reloader reads the settings file again when it has changed.
+// reloader reloads the settings file when it changes and on a signal.
 type reloader struct {
 	path   string
 	hangup <-chan os.Signal
 	logger zerolog.Logger
 	out    chan settings.Settings
-	// seen tells one content of the file from the next.
-	seen stamp
+	// lastStamp is the stamp of the file before it was last read.
+	lastStamp fileStamp
 }
 
-// stamp is what the file system says of a file's content.
-type stamp struct {
+// fileStamp is the size and modification time of a file, which identify its content.
+type fileStamp struct {
 	size     int64
 	modified time.Time
 }
 
-func stampOf(path string) stamp {
+func statFile(path string) fileStamp {
 	info, err := os.Stat(path)
 	if err != nil {
-		return stamp{}
+		return fileStamp{}
 	}
-	return stamp{size: info.Size(), modified: info.ModTime()}
+	return fileStamp{size: info.Size(), modified: info.ModTime()}
 }
 
 func newReloader(path string, hangup <-chan os.Signal, logger zerolog.Logger) *reloader {
-	return &reloader{path: path, hangup: hangup, logger: logger, out: make(chan settings.Settings), seen: stampOf(path)}
+	return &reloader{path: path, hangup: hangup, logger: logger, out: make(chan settings.Settings), lastStamp: statFile(path)}
 }
 
-// run passes changed settings on until the context ends, then closes done.
-func (w *reloader) run(ctx context.Context, done chan<- struct{}) {
+// run sends reloaded settings to out until the context ends, then closes done.
+func (r *reloader) run(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
@@ -52,28 +52,29 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.hangup:
-			w.reload(ctx, "Signal")
+		case <-r.hangup:
+			r.reload(ctx, "Signal")
 		case <-ticker.C:
-			if stampOf(w.path) != w.seen {
-				w.reload(ctx, "File")
+			if statFile(r.path) != r.lastStamp {
+				r.reload(ctx, "File")
 			}
 		}
 	}
 }
 
-// reload reads the file and passes it on, unless it has a mistake.
-func (w *reloader) reload(ctx context.Context, cause string) {
-	w.seen = stampOf(w.path)
-	s, problems := settings.Load(w.path)
+// reload loads the file and sends its settings to out. If the file has mistakes, it
+// logs them and sends nothing.
+func (r *reloader) reload(ctx context.Context, cause string) {
+	r.lastStamp = statFile(r.path)
+	s, problems := settings.Load(r.path)
 	for _, p := range problems {
-		event.Warn(w.logger, event.SettingsRefused).Str("Cause", cause).Int("Code", int(p.Code)).Stringer("Problem", p).Send()
+		event.Warn(r.logger, event.SettingsRefused).Str("Cause", cause).Int("Code", int(p.Code)).Stringer("Problem", p).Send()
 	}
 	if len(problems) > 0 {
 		return
 	}
 	select {
-	case w.out <- s:
+	case r.out <- s:
 	case <-ctx.Done():
 	}
 }
--- a/internal/product/command/serve.go
+++ b/internal/product/command/serve.go
@@ -8,20 +8,22 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/settings"
 )
 
-const serveAbout = `Runs one gateway until SIGTERM or SIGINT, then stops gracefully: the gateway
-reports not ready, goes on taking calls for [Stop] Lag, and ends once every
-call in flight has finished. A second signal ends it at once.
+const serveAbout = `Runs one gateway until SIGTERM or SIGINT, then stops it gracefully: the
+gateway reports that it is not ready, still accepts calls for [Stop] Lag, and
+exits when every call in flight has finished. A second signal ends it
+immediately.
 
-The settings file is read again when it changes and on SIGHUP; a log line says
-what takes force at once and what only after a restart.
+The settings file is reloaded when it changes and on SIGHUP; a log line lists
+the sections that take effect immediately and those that require a restart.
 
-The log goes to standard output, one JSON object a line; docs/EVENTS.md lists
-the events.
+The log is written to standard output, one JSON object per line;
+docs/EVENTS.md lists the events.
 
 Example:
   mustardsaddle serve --settings gateway.ini`
 
-// maxLogWait bounds how long the end of the process waits for the log's reader.
+// maxLogWait bounds how long the process waits at its end until the reader of the log
+// has accepted the remaining lines.
 const maxLogWait = time.Second
 
 type serve struct {
@@ -39,18 +41,18 @@
 	s, problems := settings.Load(c.Settings)
 	if len(problems) > 0 {
 		n := printSettings(c.cfg.Err, c.Settings, problems)
-		return Failf(Mistakes, "%d in %s", n, c.Settings)
+		return Failf(Mistakes, "%d mistake(s) in %s", n, c.Settings)
 	}
 	ctx, cancel := context.WithCancel(context.WithoutCancel(c.ctx))
 	log := event.NewWriter(ctx, event.WriterConfig{Out: c.cfg.Out, Gateway: s.Gateway.Name})
 	logger := event.NewLogger(log, s.Log.Level, s.Gateway.Name)
-	w := newReloader(c.Settings, c.cfg.Hangup, logger)
-	watched := make(chan struct{})
-	watching, end := context.WithCancel(ctx)
-	go w.run(watching, watched)
-	err := c.cfg.Serve(c.ctx, Gateway{Settings: s, Reloads: w.out, Logger: logger})
-	end()
-	<-watched
+	r := newReloader(c.Settings, c.cfg.Hangup, logger)
+	reloaderDone := make(chan struct{})
+	reloaderCtx, stopReloader := context.WithCancel(ctx)
+	go r.run(reloaderCtx, reloaderDone)
+	err := c.cfg.Serve(c.ctx, Gateway{Settings: s, Reloads: r.out, Logger: logger})
+	stopReloader()
+	<-reloaderDone
 	cancel()
 	select {
 	case <-log.Done():
--- a/internal/product/command/signal.go
+++ b/internal/product/command/signal.go
@@ -5,9 +5,9 @@
 	"os"
 )
 
-// Stops turns signals into the two ways to end: the returned context ends with
-// the first signal or with ctx, and abort is closed by the second signal. The
-// goroutine that waits for them ends with ctx or after the second one.
+// Stops returns a context that is canceled by the first signal or when ctx ends, and a
+// channel that is closed by the second signal. The goroutine that waits for the signals
+// ends with ctx or after the second signal.
 func Stops(ctx context.Context, signals <-chan os.Signal) (stop context.Context, abort <-chan struct{}) {
 	stop, cancel := context.WithCancel(ctx)
 	aborted := make(chan struct{})
--- a/internal/product/command/signal_test.go
+++ b/internal/product/command/signal_test.go
@@ -18,18 +18,18 @@
 		signals := make(chan os.Signal, 2)
 		stop, abort := command.Stops(ctx, signals)
 		convey.So(stop.Err(), convey.ShouldBeNil)
-		convey.Convey("The first signal stops it, the second one aborts it", func() {
+		convey.Convey("The first signal stops it, and the second one aborts it", func() {
 			signals <- syscall.SIGTERM
 			<-stop.Done()
 			select {
 			case <-abort:
-				t.Error("got an abort after one signal, want none")
+				t.Error("got abort closed after the first signal, want it open")
 			default:
 			}
 			signals <- os.Interrupt
 			<-abort
 		})
-		convey.Convey("The end of its context stops it without an abort", func() {
+		convey.Convey("Canceling the parent context stops it", func() {
 			cancel()
 			<-stop.Done()
 		})
--- a/internal/product/command/trace.go
+++ b/internal/product/command/trace.go
@@ -11,29 +11,30 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/event"
 )
 
-const traceAbout = `Shows what the gateways logged about one request: each choice of a server with
-the load report that decided and its age, each attempt and what became of it, and
-the answer. Before these come the rules that were in force in each gateway that
-took the request. Reads the log files that are named, or standard input. Lines that
-are no log lines of a gateway are passed over and counted.
+const traceAbout = `Shows the log lines of the gateways about one request: each choice of a server
+with the load report on which it was based and the age of that report, each
+attempt with its outcome, and the response. The lines of each gateway are
+preceded by the line about the rules that were in force there. Reads the named
+log files, or standard input if there are none. Lines that are not log lines of
+a gateway are skipped and counted.
 
 Examples:
   mustardsaddle trace 9c41d07be2a35f68 gateway-1.log gateway-2.log
   cat *.log | mustardsaddle trace 9c41d07be2a35f68`
 
-// maxLogLine bounds a line of a log.
+// maxLogLine is the maximum length of a log line in bytes.
 const maxLogLine = 1 << 20
 
 type trace struct {
 	Args struct {
-		Request string   `positional-arg-name:"REQUEST" description:"id of the request, as the caller named it, or of an attempt"`
-		Files   []string `positional-arg-name:"FILE" description:"log files; none means standard input"`
+		Request string   `positional-arg-name:"REQUEST" description:"id of the request, as set by the caller, or of an attempt"`
+		Files   []string `positional-arg-name:"FILE" description:"log files; standard input by default"`
 	} `positional-args:"true" required:"1"`
 
 	cfg Config
 }
 
-// logLine is what the trace needs of a log line.
+// logLine holds the fields of a log line that trace uses.
 type logLine struct {
 	Gateway string
 	Event   event.Event
@@ -42,19 +43,20 @@
 	text    string
 }
 
-// tracer picks the lines of one request.
+// tracer selects the log lines of one request.
 type tracer struct {
 	request string
-	// rules are the latest lines of RulesInForce by gateway.
+	// rules holds, by gateway, the latest line with event RulesInForce that has not been
+	// printed yet.
 	rules map[string]string
-	// attempts are the attempts of the request.
+	// attempts holds the ids of the known attempts of the request.
 	attempts map[string]bool
 	out      io.Writer
 	found    int
 	skipped  int
 }
 
-// Execute prints the lines of a request.
+// Execute prints the log lines of the request.
 func (c *trace) Execute(args []string) error {
 	if err := NoArguments(args); err != nil {
 		return err
@@ -64,7 +66,7 @@
 		return err
 	}
 	if tr.skipped > 0 {
-		_, _ = fmt.Fprintf(c.cfg.Err, "passed over %d lines that are no log lines\n", tr.skipped)
+		_, _ = fmt.Fprintf(c.cfg.Err, "skipped %d line(s) that are not log lines of a gateway\n", tr.skipped)
 	}
 	if tr.found == 0 {
 		return Failf(NoMatch, "no log line names request %s", tr.request)
@@ -72,7 +74,7 @@
 	return nil
 }
 
-// read passes all lines to the tracer.
+// read passes all lines of the log files, or of standard input, to the tracer.
 func (c *trace) read(tr *tracer) error {
 	if len(c.Args.Files) == 0 {
 		return tr.scan("standard input", c.cfg.In)
@@ -95,7 +97,7 @@
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLogLine)
 	for lines.Scan() {
-		tr.line(lines.Text())
+		tr.handleLine(lines.Text())
 	}
 	if err := lines.Err(); err != nil {
 		return Failf(Failed, "can't read %s: %v", name, err)
@@ -103,12 +105,13 @@
 	return nil
 }
 
-// line takes one line. What stands before its first brace, such as the time that a
-// collector adds, is kept.
-func (tr *tracer) line(text string) {
+// handleLine handles one line, and prints it if it belongs to the request. Text before
+// the first brace, such as a time that a log collector has added, is ignored in
+// decoding but printed.
+func (tr *tracer) handleLine(text string) {
 	l := logLine{text: text}
-	at := strings.IndexByte(text, '{')
-	if at < 0 || json.Unmarshal([]byte(text[at:]), &l) != nil || l.Gateway == "" {
+	start := strings.IndexByte(text, '{')
+	if start < 0 || json.Unmarshal([]byte(text[start:]), &l) != nil || l.Gateway == "" {
 		tr.skipped++
 		return
 	}
--- a/internal/product/command/trace_test.go
+++ b/internal/product/command/trace_test.go
@@ -34,18 +34,18 @@
 	}
 	lines := strings.SplitAfter(logText, "\n")
 	convey.Convey("Given the logs of two gateways", t, func() {
-		convey.Convey("The lines of a request come with the rules that were in force", func() {
+		convey.Convey("The lines of a request are printed after the rules that were in force", func() {
 			status, out, err := run("", "r-1", path)
 			convey.So(status, convey.ShouldEqual, command.Done)
 			convey.So(out, convey.ShouldEqual, lines[1]+lines[2]+lines[5]+lines[6])
-			convey.So(err, convey.ShouldContainSubstring, "passed over 1 lines")
+			convey.So(err, convey.ShouldContainSubstring, "skipped 1 line(s) that are not log lines")
 		})
-		convey.Convey("Standard input is read if no file is named, and an attempt can be traced too", func() {
+		convey.Convey("Standard input is read if no file is named, and the id of an attempt can be given", func() {
 			status, out, _ := run(logText, "g1-b")
 			convey.So(status, convey.ShouldEqual, command.Done)
 			convey.So(out, convey.ShouldEqual, lines[1]+lines[3])
 		})
-		convey.Convey("A request that no line names, and a file that is not there, are told", func() {
+		convey.Convey("An unknown request, a missing file and missing arguments give an error status", func() {
 			status, _, err := run("", "r-3", path)
 			convey.So(status, convey.ShouldEqual, command.NoMatch)
 			convey.So(err, convey.ShouldContainSubstring, "r-3")
--- a/internal/product/command/version.go
+++ b/internal/product/command/version.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	settingsAbout = `Prints an annotated settings file that states every setting: the required ones
-with an example, the others with their defaults.
+	settingsAbout = `Prints an annotated settings file with every setting: required settings have
+an example value, the others their default.
 
 Example:
   mustardsaddle settings > gateway.ini`
@@ -33,7 +33,7 @@
 	cfg Config
 }
 
-// Execute prints what the build recorded about itself.
+// Execute prints the version information that the Go toolchain recorded in the binary.
 func (c *version) Execute(args []string) error {
 	if err := NoArguments(args); err != nil {
 		return err
