--- a/internal/choice/survey/server.go
+++ b/internal/choice/survey/server.go
@@ -19,8 +19,8 @@
 	// lasts twice as long, up to maxEjectionDoublings doublings.
 	baseEjection         = time.Second
 	maxEjectionDoublings = 3
-	// unresponsiveQueries is the number of consecutive load queries without an
-	// answer after which a server counts as unresponsive. It is then not queried or
+	// unresponsiveQueries is the number of consecutive load queries without a
+	// reply after which a server counts as unresponsive. It is then not queried or
 	// chosen for unresponsivePause.
 	unresponsiveQueries = 2
 	unresponsivePause   = 500 * time.Millisecond
@@ -42,10 +42,9 @@
 	report mustardsaddle.Report
 	// queriedAt is when the pending load query was sent; zero if there is none.
 	queriedAt time.Time
-	// probedAt is when the last probe was sent, that is, a load query outside a
-	// call.
+	// probedAt is when the server was last picked for a probe.
 	probedAt time.Time
-	// missedQueries counts consecutive load queries without an answer, the last of
+	// missedQueries counts consecutive load queries without a reply, the last of
 	// them at missedAt.
 	missedQueries int
 	missedAt      time.Time
--- a/internal/choice/survey/survey.go
+++ b/internal/choice/survey/survey.go
@@ -11,7 +11,7 @@
 // A server has capacity while a slot is free. The last slot of a server that is
 // slow compared with its peers stays free, since a request there would outlast its
 // caller's timeout. No attempt queues in a server: calls that find no capacity
-// queue in the gateway, where they can still be reordered and can be rejected
+// queue in the gateway, where they can still be reordered and can be refused
 // early.
 //
 // The servers of a large service are divided into subsets: each gateway knows and
@@ -19,7 +19,7 @@
 //
 // A server is excluded while it is leaving, has no capacity, does not answer load
 // queries or is ejected. Consecutive failures eject it, each time for twice as
-// long. Answers to load queries do not end an ejection early, since a server can
+// long. Replies to load queries do not end an ejection early, since a server can
 // fail every request while it reports that it is healthy. The share of servers
 // ejected at a time is bounded.
 //
@@ -74,7 +74,7 @@
 	defaultSubset = 32
 	// defaultProbeInterval is the minimum time between two probes of one server.
 	defaultProbeInterval = 500 * time.Millisecond
-	// queryTimeout is the time after which a load query without an answer no longer
+	// queryTimeout is the time after which a load query without a reply no longer
 	// counts as pending.
 	queryTimeout = 200 * time.Millisecond
 	// lastSlotCost is the relative increase in processing time when a request takes
@@ -267,7 +267,7 @@
 
 // Probe picks the server with the oldest probe among those that are leaving only
 // because of their own reports: calls do not query them, and only reports can bring
-// them back. All other load queries are made by calls.
+// them back. Other servers are queried by calls only.
 func (c *Chooser) Probe(now time.Time, _ *rand.Rand) (mustardsaddle.Server, bool) {
 	interval := c.cfg.ProbeInterval * time.Duration(max(len(c.gateways), 1))
 	var next *server
@@ -306,7 +306,8 @@
 	return choice, true
 }
 
-// lowestScore returns the eligible server with the lowest score that accept admits.
+// lowestScore returns the eligible server with the lowest score for which accept
+// returns true.
 // Ties are broken uniformly at random.
 func (c *Chooser) lowestScore(now time.Time, rng *rand.Rand, need mustardsaddle.Need, accept func(*server) bool) *server {
 	var best *server
--- a/internal/choice/survey/survey_test.go
+++ b/internal/choice/survey/survey_test.go
@@ -279,7 +279,7 @@
 			chooser.Asked(start, "booking-0", mustardsaddle.NoReply)
 			chooser.Asked(start, "booking-0", mustardsaddle.NoReply)
 		}, "Silent"},
-		{"an answer from another server", func(chooser *survey.Chooser) { chooser.Asked(start, "booking-0", mustardsaddle.OtherReply) }, "OtherServer"},
+		{"a reply from another server", func(chooser *survey.Chooser) { chooser.Asked(start, "booking-0", mustardsaddle.OtherReply) }, "OtherServer"},
 	} {
 		chooser := newChooser(5)
 		c.do(chooser)
