--- a/internal/choice/bench/policy.go
+++ b/internal/choice/bench/policy.go
@@ -88,7 +88,8 @@
 
 // pickPreferred returns the candidate with the best score among those with a free
 // slot assigned to this gateway, or nil. It skips degraded servers, and servers
-// that have no slot left because other gateways use more than their own.
+// without a free slot because other gateways use more slots than are assigned to
+// them.
 func (c *Chooser) pickPreferred(now time.Time, rng *rand.Rand, zone string) *server {
 	sel := newSelection(rng, zone)
 	for _, s := range c.candidates {
