--- a/internal/choice/report/report_test.go
+++ b/internal/choice/report/report_test.go
@@ -71,15 +71,15 @@
 	})
 }
 
-// payment is the cost of one permitted probe.
-type payment struct {
+// permittedProbe is the cost of one permitted probe.
+type permittedProbe struct {
 	at              time.Time
 	messages, bytes int
 }
 
-// checkWindows fails if the cost in any window between two payments exceeds what
+// checkWindows fails if the cost in any window between two probes exceeds what
 // the rate permits with a bucket of the given depth.
-func checkWindows(t *rapid.T, name string, all []payment, size func(payment) int, perSecond, depth float64) {
+func checkWindows(t *rapid.T, name string, all []permittedProbe, size func(permittedProbe) int, perSecond, depth float64) {
 	for i := range all {
 		sum := 0
 		for j := i; j < len(all); j++ {
@@ -101,7 +101,7 @@
 			Burst: 100 * time.Millisecond,
 		})
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		var all []payment
+		var all []permittedProbe
 		now, latest := start, time.Time{}
 		for range rapid.IntRange(1, 300).Draw(t, "arrivals") {
 			// Arrivals come in bursts, after pauses, and with the clock set back.
@@ -113,13 +113,13 @@
 			if now.After(latest) {
 				latest = now
 			}
-			s := payment{at: latest, messages: 1 + rng.IntN(2), bytes: rng.IntN(900)}
+			s := permittedProbe{at: latest, messages: 1 + rng.IntN(2), bytes: rng.IntN(900)}
 			if b.Take(now, s.messages, s.bytes) {
 				all = append(all, s)
 			}
 		}
-		messages := func(s payment) int { return s.messages }
-		bytes := func(s payment) int { return s.bytes }
+		messages := func(s permittedProbe) int { return s.messages }
+		bytes := func(s permittedProbe) int { return s.bytes }
 		checkWindows(t, "messages", all, messages, perSecond, max(1, perSecond/10))
 		checkWindows(t, "bytes", all, bytes, bytesPerSecond, max(report.ProbeBytes, bytesPerSecond/10))
 		var sum report.Cost
