--- a/internal/choice/share/share.go
+++ b/internal/choice/share/share.go
@@ -5,7 +5,7 @@
 // # Usage
 //
 //	known := share.Subset(servers, gateways, "gateway-1", 64)
-//	owned := share.Slots(known, gateways, "gateway-1")
+//	assigned := share.Slots(known, gateways, "gateway-1")
 package share
 
 import (
@@ -41,9 +41,9 @@
 // must be ordered by name, so that all gateways compute the same, disjoint
 // assignment.
 func Slots(servers []mustardsaddle.Server, gateways []mustardsaddle.VM, self string) map[string]int {
-	owned := make(map[string]int)
+	ownSlots := make(map[string]int)
 	if len(gateways) == 0 {
-		return owned
+		return ownSlots
 	}
 	total := 0
 	for _, s := range servers {
@@ -58,11 +58,11 @@
 			i := highestScore(s, serverHash, gateways, gatewayHashes, func(i int) bool { return assigned[i] < quota })
 			assigned[i]++
 			if gateways[i].Name == self {
-				owned[s.Name]++
+				ownSlots[s.Name]++
 			}
 		}
 	}
-	return owned
+	return ownSlots
 }
 
 // highestScore returns the index of the available gateway with the highest score.
