--- a/internal/request/admission/lane.go
+++ b/internal/request/admission/lane.go
@@ -54,7 +54,7 @@
 	queue   *slot.Queue
 	waiting map[uint64]queuedCall
 	lastID  uint64
-	usable  int // number of servers that are not shutting down
+	usable  int // number of servers that are not leaving
 	// responseBytes is the moving average of response sizes.
 	responseBytes float64
 	// queryLimit limits the load queries that this gateway sends to the service.
@@ -156,9 +156,9 @@
 
 // Place starts an attempt of the call and chooses its server. A first attempt is queued
 // if other calls are queued or no server has capacity. A retry is queued only if no
-// server has capacity, and a hedge is refused then. If Begin permits no attempt, the
-// refusal has code.OK. Blind is true if the budgets allowed no load query before this
-// attempt.
+// server has capacity, and a hedge is refused then. A call that has tried every usable
+// server is refused instead of queued. If Begin permits no attempt, the refusal has
+// code.OK. Blind is true if the budgets allowed no load query before this attempt.
 func (l *Lane) Place(ctx context.Context, now time.Time, r Request, blind bool) (Placement, *refusal.Refusal) {
 	l.mu.Lock()
 	kind, tried, ok := r.Begin(now, &l.budgets)
@@ -302,13 +302,13 @@
 		if !ok {
 			return
 		}
-		w := l.waiting[id]
-		choice, ok := l.choose(now, l.need(w.tried))
+		queued := l.waiting[id]
+		choice, ok := l.choose(now, l.need(queued.tried))
 		if !ok {
 			return
 		}
 		l.queue.Leave(id)
-		w.assigned <- choice
+		queued.assigned <- choice
 		delete(l.waiting, id)
 	}
 }
@@ -345,7 +345,7 @@
 		l.idleAt[result.Server] = now
 	}
 	l.chooser.Finish(now, result)
-	l.logEjections()
+	l.logExclusions()
 	l.limits.Release(result.Server)
 	latency := result.Latency
 	if result.Outcome != mustardsaddle.Ran {
@@ -427,8 +427,9 @@
 	return l.choose(now, l.need(nil))
 }
 
-// logEjections logs each server that the chooser has ejected. The caller holds mu.
-func (l *Lane) logEjections() {
+// logExclusions logs each server that the chooser has excluded since the last call. The
+// caller holds mu.
+func (l *Lane) logExclusions() {
 	surveyor, ok := l.chooser.(mustardsaddle.Surveyor)
 	if !ok {
 		return
--- a/internal/request/admission/lanes.go
+++ b/internal/request/admission/lanes.go
@@ -49,7 +49,7 @@
 	Transport *http.Transport
 	// Headers names the response headers in which servers report their load and name.
 	Headers *mustardsaddle.Headers
-	// Rules returns the routing table in use, or nil.
+	// Rules returns the rules table in force, or nil.
 	Rules func() *rule.Table
 	// Metrics is the scope of counters and histograms.
 	Metrics tally.Scope
@@ -69,7 +69,7 @@
 
 	mu    sync.RWMutex
 	lanes map[string]*Lane
-	// fleet lists the gateway VMs that are not shutting down.
+	// fleet lists the gateway VMs that are not leaving.
 	fleet []mustardsaddle.VM
 }
 
@@ -117,9 +117,9 @@
 }
 
 // SetFleet sets the gateway VMs of the fleet, including this one. Every gateway counts
-// towards the sharing of server connections, because a gateway that is shutting down
-// keeps its connections until its last call has finished. Choosers that divide the
-// servers among gateways get only those that are not shutting down.
+// towards the sharing of server connections, because a leaving gateway keeps its
+// connections until its last call has finished. Choosers that divide the servers among
+// gateways get only those that are not leaving.
 func (s *Lanes) SetFleet(now time.Time, gateways []mustardsaddle.VM) {
 	s.gateways.Store(int64(len(gateways)))
 	live := slices.DeleteFunc(slices.Clone(gateways), func(v mustardsaddle.VM) bool { return v.Leaving })
--- a/internal/request/admission/metrics.go
+++ b/internal/request/admission/metrics.go
@@ -21,8 +21,8 @@
 	Attempts tally.Counter
 	Retries  tally.Counter
 	Hedges   tally.Counter
-	// Silent counts attempts without a response, Resumed counts downloads resumed from
-	// another server, and Cut counts truncated responses.
+	// Silent counts attempts on reused connections that returned nothing, Resumed counts
+	// downloads resumed from another server, and Cut counts truncated responses.
 	Silent  tally.Counter
 	Resumed tally.Counter
 	Cut     tally.Counter
--- a/internal/request/admission/prober.go
+++ b/internal/request/admission/prober.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// probeRequestBytes and probeResponseBytes are the expected sizes of a probe's request
-	// and response, including TCP and IP headers.
+	// probeRequestBytes and probeResponseBytes are the expected sizes of the request and
+	// the response of a probe or load query, including TCP and IP headers.
 	probeRequestBytes  = 300
 	probeResponseBytes = 500
 	// maxProbesInFlight is the maximum number of probes in flight.
--- a/internal/request/admission/question.go
+++ b/internal/request/admission/question.go
@@ -86,7 +86,7 @@
 	if reply == mustardsaddle.OwnReply {
 		l.idleAt[server.Name] = now
 	}
-	l.logEjections()
+	l.logExclusions()
 	l.mu.Unlock()
 	if reply == mustardsaddle.OwnReply {
 		l.ObserveHeader(now, server.Name, h)
@@ -106,7 +106,7 @@
 		return nil, mustardsaddle.NoReply
 	}
 	if name := s.cfg.Headers.Server; name != "" {
-		if told := h.Get(name); told != "" && told != server.Name {
+		if reported := h.Get(name); reported != "" && reported != server.Name {
 			return nil, mustardsaddle.OtherReply
 		}
 	}
