--- a/internal/request/booking/window.go
+++ b/internal/request/booking/window.go
@@ -46,14 +46,14 @@
 func (w *Window) Take(now time.Time, b Bounds) bool {
 	current := w.intervalAt(now)
 	calls, extra := 0, 0
-	for _, p := range w.intervals {
-		age := current.number - p.number
+	for _, interval := range w.intervals {
+		age := current.number - interval.number
 		if age > windowIntervals {
 			continue
 		}
-		extra += p.extra
+		extra += interval.extra
 		if age < windowIntervals {
-			calls += p.calls
+			calls += interval.calls
 		}
 	}
 	if float64(extra+1) > b.Share*float64(calls)+b.Slack {
@@ -69,9 +69,9 @@
 		w.start = now
 	}
 	number := int64(max(now.Sub(w.start), 0) / max(w.span/windowIntervals, 1))
-	p := &w.intervals[number%int64(len(w.intervals))]
-	if p.number != number {
-		*p = windowInterval{number: number}
+	interval := &w.intervals[number%int64(len(w.intervals))]
+	if interval.number != number {
+		*interval = windowInterval{number: number}
 	}
-	return p
+	return interval
 }
