--- a/internal/request/refusal/refusal.go
+++ b/internal/request/refusal/refusal.go
@@ -1,4 +1,4 @@
-// Package refusal describes a response that the gateway gives itself in place of a
+// Package refusal describes a response that the gateway sends itself in place of a
 // server's: its code, what is known about the execution of the request, and the HTTP
 // status and body for the caller.
 //
