--- a/internal/request/gateway/call.go
+++ b/internal/request/gateway/call.go
@@ -50,7 +50,7 @@
 	return c
 }
 
-// expire cancels the open attempts when the deadline passes.
+// expire cancels the attempts in flight when the deadline passes.
 func (c *call) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,8 +141,8 @@
 
 // admit obtains permission for one more attempt and a server to send it to.
 func (c *call) admit() (admission.Placement, *refusal.Refusal) {
-	noReports := c.match.lane.Ask(c.r.Context(), c.triedServers())
-	p, refused := c.match.lane.Place(c.r.Context(), time.Now(), c.request, noReports)
+	blind := c.match.lane.Ask(c.r.Context(), c.triedServers())
+	p, refused := c.match.lane.Place(c.r.Context(), time.Now(), c.request, blind)
 	if refused != nil {
 		if refused.Code != code.OK {
 			c.endAttempt(mustardsaddle.NotRun)
@@ -292,7 +292,7 @@
 }
 
 // setWinner reports whether the attempt is the first to be answered. If so, it
-// becomes the winner and the open hedge is canceled.
+// becomes the winner and a hedge in flight is canceled.
 func (c *call) setWinner(a *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -101,7 +101,7 @@
 	Admission admission.Options
 	// Services holds the declarations by service.
 	Services map[string]Service
-	// Claims stores the idempotency keys of rules with Repeat=Claim; if nil, such
+	// Claims stores the claims of requests whose rule has Repeat=Claim; if nil, such
 	// requests are refused.
 	Claims mustardsaddle.Claims
 	// Metrics receives counters and histograms; nil disables them.
@@ -185,12 +185,12 @@
 	return g
 }
 
-// SetRules replaces the rules table.
+// SetRules replaces the rules table in force.
 func (g *Gateway) SetRules(t *rule.Table) {
 	g.rules.Store(t)
 }
 
-// Rules returns the current rules table, or nil.
+// Rules returns the rules table in force, or nil.
 func (g *Gateway) Rules() *rule.Table {
 	return g.rules.Load()
 }
@@ -210,8 +210,8 @@
 	g.lanes.SetFleet(now, gateways)
 }
 
-// SetRetry replaces the retry and hedge budgets of a time window: the ratio that
-// each call adds, and the slack of all gateways together.
+// SetRetry changes the bounds of retries and hedges in a window: the share earned by
+// each call and the slack of the whole fleet.
 func (g *Gateway) SetRetry(now time.Time, bounds booking.Bounds) {
 	g.lanes.SetRetry(now, bounds)
 }
--- a/internal/request/gateway/idle_test.go
+++ b/internal/request/gateway/idle_test.go
@@ -66,6 +66,6 @@
 		t.Errorf("read until the connection closes: %v", err)
 	}
 	if kept := time.Since(sent); kept < extended {
-		t.Errorf("connection was kept for %v, want at least the idle timeout of %v in the current rules", kept, extended)
+		t.Errorf("connection was kept for %v, want at least the idle timeout of %v of the rules in force", kept, extended)
 	}
 }
--- a/internal/request/gateway/server.go
+++ b/internal/request/gateway/server.go
@@ -33,7 +33,7 @@
 
 // NewServer returns a server for HTTP/1.1 and unencrypted HTTP/2. The total time of
 // a request is not limited; bodies are limited by the progress timeout. Idle
-// connections are kept for the time that the current rules set.
+// connections are kept for the time that the rules in force set.
 func NewServer(cfg ServerConfig) *http.Server {
 	setDefault(&cfg.HeaderBytes, defaultHeaderBytes)
 	setDefault(&cfg.HeaderTimeout, defaultHeaderTimeout)
