--- a/internal/control/store/stats.go
+++ b/internal/control/store/stats.go
@@ -23,7 +23,7 @@
 	// StatusDropped counts status calls not sent because of the rate limit, part of which
 	// is reserved for the rules.
 	StatusDropped int64
-	// BackedOff counts calls not sent because the circuit breaker was not closed.
+	// BackedOff counts calls not sent because the circuit breaker did not allow them.
 	BackedOff int64
 	// Opened counts how many times the circuit breaker has opened.
 	Opened int64
@@ -50,7 +50,7 @@
 	// call of a half-open breaker.
 	if k == Watching && s.breaker.State() != Closed || !s.breaker.Allow(now) {
 		s.stats.BackedOff++
-		return code.Errorf(code.StoreBackoff, "%s: the circuit breaker of the store is open", k)
+		return code.Errorf(code.StoreBackoff, "%s: the store failed and its circuit breaker does not allow the call yet", k)
 	}
 	if !s.budget.Take(now, k == Writing, c.use) {
 		s.breaker.Cancel(now)
