--- a/choice.go
+++ b/choice.go
@@ -83,7 +83,7 @@
 }
 
 // Surveyor is a Chooser that bases its choices on load queries sent to some servers
-// just before. The results of a query reach it through Asked, and a load report
+// just before. The result of a query reaches it through Asked, and its load report
 // then through Observe.
 type Surveyor interface {
 	Chooser
@@ -117,10 +117,10 @@
 type Reply int
 
 const (
-	// NoReply means that the query was not answered.
+	// NoReply means that no reply arrived.
 	NoReply Reply = iota
-	// OwnReply means that the queried server answered.
+	// OwnReply means that the queried server replied.
 	OwnReply
-	// OtherReply means that another server answered at the address.
+	// OtherReply means that another server replied at the address.
 	OtherReply
 )
