--- a/internal/choice/survey/survey.go
+++ b/internal/choice/survey/survey.go
@@ -17,7 +17,7 @@
 // The servers of a large service are divided into subsets: each gateway knows and
 // queries one subset.
 //
-// A server is excluded while it is leaving, has no capacity, does not answer load
+// A server is excluded while it is leaving, has no capacity, does not reply to load
 // queries or is ejected. Consecutive failures eject it, each time for twice as
 // long. Replies to load queries do not end an ejection early, since a server can
 // fail every request while it reports that it is healthy. The share of servers
--- a/internal/request/gateway/prober_test.go
+++ b/internal/request/gateway/prober_test.go
@@ -18,8 +18,8 @@
 // countedBudget is a probe budget that grants a fixed number of messages.
 type countedBudget struct{ left atomic.Int64 }
 
-func (p *countedBudget) Take(_ time.Time, messages, _ int) bool {
-	return p.left.Add(-int64(messages)) >= 0
+func (b *countedBudget) Take(_ time.Time, messages, _ int) bool {
+	return b.left.Add(-int64(messages)) >= 0
 }
 
 func TestProberStaysInItsBudget(t *testing.T) {
