--- a/internal/control/catalog/catalog.go
+++ b/internal/control/catalog/catalog.go
@@ -1,6 +1,6 @@
 // Package catalog replicates the collections of a service directory to one gateway.
 // The directory is a platform that accepts routing rules by itself and lists the VMs
-// without delay. The package activates each newer generation of the rules
+// without delay. The package puts each newer generation of the rules in force
 // and reports each change of the servers.
 //
 // # Usage
@@ -24,8 +24,8 @@
 // directory would report. Therefore no watch waits longer than Config.Wait, and one
 // that is not answered in that time is canceled. When the directory has discarded the
 // changes since the known revision, a snapshot of the collection is read. Rules are
-// accepted only if their generation is higher than the active one, so that they never
-// revert.
+// accepted only if their generation is higher than the one in force, so that they
+// never revert.
 //
 // # Outages
 //
@@ -161,8 +161,8 @@
 	store.RunAll(ctx, loops...)
 }
 
-// Snapshot returns the text and the generation of the active rules; the generation is
-// 0 before there are any.
+// Snapshot returns the text and the generation of the rules in force; the generation
+// is 0 before there are any.
 func (c *Catalog) Snapshot() (text string, generation int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -459,8 +459,8 @@
 	return c.backoff.Delay(c.rng, failures)
 }
 
-// applyRules activates rules if they are newer than the active ones. The caller holds
-// mu.
+// applyRules puts rules in force if their generation is higher than the one in force.
+// The caller holds mu.
 func (c *Catalog) applyRules(r mustardsaddle.RulesText, revision int64, source string) {
 	if r.Generation <= c.table.File.Generation {
 		return
--- a/internal/control/catalog/catalog_test.go
+++ b/internal/control/catalog/catalog_test.go
@@ -239,7 +239,7 @@
 			convey.So(changes, convey.ShouldHaveLength, 1)
 			convey.So(c.Servers("Booking"), convey.ShouldHaveLength, 1)
 		})
-		convey.Convey("A long watch that is answered does not count as an outage", func() {
+		convey.Convey("A long watch that gets a response does not count as an outage", func() {
 			c.Contact(at(time.Second), at(9*time.Second))
 			c.Apply(at(9*time.Second), mustardsaddle.Update{After: 1, Revision: 2, Removed: []string{"a"}})
 			convey.So(c.Servers("Booking"), convey.ShouldHaveLength, 1)
--- a/internal/control/catalog/core.go
+++ b/internal/control/catalog/core.go
@@ -88,7 +88,7 @@
 	return changes(before, c.entries)
 }
 
-// Contact records that the directory answered a call that lasted from since to now.
+// Contact records that the directory responded to a call that lasted from since to now.
 func (c *Core) Contact(since, now time.Time) {
 	if !c.lastContact.IsZero() && since.Sub(c.lastContact) >= c.cfg.Outage {
 		c.recoveredAt = now
