--- a/internal/control/registry/core_test.go
+++ b/internal/control/registry/core_test.go
@@ -217,7 +217,7 @@
 	old, now := rules(before.File), rules(after.File)
 	refused := slices.ContainsFunc(after.Refusals, func(r rule.Refusal) bool { return r.Submission == s.Version })
 	if slices.ContainsFunc(after.Refusals, func(r rule.Refusal) bool { return r.Problem.Code == code.RuleUnknownBase }) {
-		t.Fatalf("submission %d rejected for an unknown base, although the base is in the store", s.Version)
+		t.Fatalf("submission %d refused for an unknown base, although the base is in the store", s.Version)
 	}
 	for i := range 6 {
 		path := fmt.Sprintf("/r%d", i)
@@ -225,7 +225,7 @@
 		case now[path] != old[path] && (now[path] != submitted[path] || submitted[path] == base[path] || old[path] != base[path]):
 			t.Fatalf("submission %d changed %s from %q to %q, want no change, since its text has none or a conflicting one", s.Version, path, old[path], now[path])
 		case now[path] != submitted[path] && submitted[path] != base[path] && !refused:
-			t.Fatalf("change of submission %d that sets %s to %q was neither applied nor rejected", s.Version, path, submitted[path])
+			t.Fatalf("change of submission %d that sets %s to %q was neither applied nor refused", s.Version, path, submitted[path])
 		}
 	}
 }
--- a/internal/control/registry/follow.go
+++ b/internal/control/registry/follow.go
@@ -174,7 +174,7 @@
 }
 
 // readNewAccepted reads a new version of Rules/Accepted. An unusable version is read
-// only once, and repaired by the first gateway in the order of acceptance.
+// only once, and repaired by the gateway whose acceptance delay ends first.
 func (f *follower) readNewAccepted(ctx context.Context) error {
 	o, err := f.cfg.Store.Get(ctx, AcceptedKey)
 	if err != nil {
--- a/internal/control/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -220,9 +220,9 @@
 	return err
 }
 
-// applyChange activates and forwards the change that a version of Rules/Accepted
+// applyChange puts in force and forwards the change that a version of Rules/Accepted
 // contained. The caller holds mu. The first complete file is not forwarded: peers
-// without rules request them.
+// without rules request it.
 func (g *Registry) applyChange(change rule.Change, changed bool) {
 	if !changed {
 		return
@@ -233,8 +233,8 @@
 	}
 }
 
-// activate passes the table of the file in force to Config.InForce. The caller holds
-// mu.
+// activate passes the table of the file now in force to Config.InForce. The caller
+// holds mu.
 func (g *Registry) activate(source string) {
 	g.table = g.table.Next(g.core.File())
 	g.fileSize = g.table.File.Size()
--- a/internal/control/registry/work.go
+++ b/internal/control/registry/work.go
@@ -20,13 +20,13 @@
 // findBase searches for the file that the pending submission is based on. It returns
 // the read that the search needs next, if any.
 func (c *Core) findBase() (Step, bool) {
-	w := c.pendingSubmission
-	if w.submission.HasBase || !w.submission.File.HasGeneration || len(w.submission.Problems) > 0 {
+	p := c.pendingSubmission
+	if p.submission.HasBase || !p.submission.File.HasGeneration || len(p.submission.Problems) > 0 {
 		return Step{}, false
 	}
-	generation := w.submission.File.Generation
+	generation := p.submission.File.Generation
 	if generation == 0 {
-		w.submission = w.submission.WithBase(rule.File{})
+		p.submission = p.submission.WithBase(rule.File{})
 		return Step{}, false
 	}
 	if generation > c.stored.File.Generation {
@@ -34,18 +34,18 @@
 	}
 	for _, f := range c.recent {
 		if f.Generation == generation {
-			w.submission = w.submission.WithBase(f)
+			p.submission = p.submission.WithBase(f)
 			return Step{}, false
 		}
 	}
-	if w.low > w.high {
+	if p.low > p.high {
 		return Step{}, false
 	}
-	return Step{Action: ReadBase, Version: w.middle() - w.unusable}, true
+	return Step{Action: ReadBase, Version: p.middle() - p.unusable}, true
 }
 
-func (w *pendingSubmission) middle() int64 {
-	return w.low + (w.high-w.low)/2
+func (p *pendingSubmission) middle() int64 {
+	return p.low + (p.high-p.low)/2
 }
 
 // TakeSubmission processes a read of the submission requested by Next. The object has
@@ -74,23 +74,23 @@
 // store no longer has counts as too old; after an unusable version the preceding one
 // is tried.
 func (c *Core) TakeBase(version int64, o mustardsaddle.Object) {
-	w := c.pendingSubmission
-	if w == nil {
+	p := c.pendingSubmission
+	if p == nil {
 		return
 	}
 	a, err := rule.ParseAccepted(string(o.Value))
-	want := w.submission.File.Generation
-	if o.Version > 0 && err != nil && version > w.low {
-		w.unusable++
+	want := p.submission.File.Generation
+	if o.Version > 0 && err != nil && version > p.low {
+		p.unusable++
 		return
 	}
 	switch {
 	case o.Version == 0 || err != nil || a.File.Generation < want:
-		w.low = w.middle() + 1
+		p.low = p.middle() + 1
 	case a.File.Generation > want:
-		w.high = version - 1
+		p.high = version - 1
 	default:
-		w.submission = w.submission.WithBase(a.File)
+		p.submission = p.submission.WithBase(a.File)
 	}
-	w.unusable = 0
+	p.unusable = 0
 }
