--- a/internal/control/roster/mark.go
+++ b/internal/control/roster/mark.go
@@ -61,14 +61,14 @@
 
 func (r Roster) observeServing(now time.Time, mark mustardsaddle.Mark) (Roster, mustardsaddle.Mark, bool) {
 	cfg := r.cfg.withDefaults()
-	p := r.evidence[mark.Name]
-	if p.mark != mark {
-		p = servingEvidence{mark: mark, first: now}
+	ev := r.evidence[mark.Name]
+	if ev.mark != mark {
+		ev = servingEvidence{mark: mark, first: now}
 	}
-	p.count++
+	ev.count++
 	r.evidence = cloneMap(r.evidence)
-	if p.count < cfg.RevertReports || now.Sub(p.first) < cfg.RevertSpan {
-		r.evidence[mark.Name] = p
+	if ev.count < cfg.RevertReports || now.Sub(ev.first) < cfg.RevertSpan {
+		r.evidence[mark.Name] = ev
 		return r, mustardsaddle.Mark{}, false
 	}
 	delete(r.evidence, mark.Name)
--- a/internal/control/roster/schedule.go
+++ b/internal/control/roster/schedule.go
@@ -60,7 +60,7 @@
 	return &Schedule{cfg: cfg, plans: make(map[string]pagePlan)}
 }
 
-// SetFleet sets the gateway VMs, and the pages that the active rules need. A page that
+// SetFleet sets the gateway VMs, and the pages that the rules in force need. A page that
 // is new to this gateway is due at once if the gateway is one of its readers,
 // otherwise at a random time within the longer interval.
 func (s *Schedule) SetFleet(now time.Time, rng *rand.Rand, vms []mustardsaddle.VM, pages []string) {
