--- a/internal/control/rule/doc.go
+++ b/internal/control/rule/doc.go
@@ -1,7 +1,7 @@
 // Package rule implements the routing rules as pure functions: it parses the
 // operators' rules file, validates and merges submitted files, computes and
-// applies diffs between generations, and compiles the active rules into a routing
-// table. Nothing in it performs I/O, reads a clock or starts a goroutine.
+// applies diffs between generations, and compiles the rules in force into a
+// routing table. Nothing in it performs I/O, reads a clock or starts a goroutine.
 //
 // # Usage
 //
--- a/internal/control/rule/inforce.go
+++ b/internal/control/rule/inforce.go
@@ -8,11 +8,11 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/code"
 )
 
-// VM states the active generation of one gateway VM.
+// VM states the generation in force on one gateway VM.
 type VM struct {
 	// Name is the name of the gateway VM.
 	Name string
-	// Generation is the generation active on that VM.
+	// Generation is the generation in force on that VM.
 	Generation int64
 }
 
@@ -31,7 +31,7 @@
 }
 
 // InForce is the content of the stored object Rules/InForce, the status report for
-// operators: the newest accepted file, the generation active on each gateway VM, and
+// operators: the newest accepted file, the generation in force on each gateway VM, and
 // recent refusals. An InForce is immutable.
 type InForce struct {
 	// Accepted is the newest accepted state known to the writer.
