--- a/internal/base/settings/list.go
+++ b/internal/base/settings/list.go
@@ -173,7 +173,7 @@
 			"Maximum number of calls of one service that are queued in this gateway for a server; 0 rejects them immediately.",
 			func(s *Settings) *int { return &s.Limits.QueueLength }),
 		number(sectionRetry, "RetryShare", "0.2", 0, 1, "a share of the calls",
-			"Maximum share of retries that failures may add to the load; 0 disables retries.",
+			"Maximum share of retries, which bounds the load that failures add; 0 disables retries.",
 			func(s *Settings) *float64 { return &s.Retry.RetryShare }),
 		duration(sectionRetry, "Window", "10s", 100*time.Millisecond, maxDuration,
 			"Time window over which retries and hedges are counted in proportion to the calls.",
