--- a/internal/base/code/code.go
+++ b/internal/base/code/code.go
@@ -1,4 +1,4 @@
-// Package code defines the numeric result codes of the load balancer. Every error
+// Package code defines the numeric result codes of the load balancer. Every refusal
 // that is reported to a caller, to an operator or in the log has one; docs/CODES.md
 // lists all codes.
 //
--- a/internal/base/code/list.go
+++ b/internal/base/code/list.go
@@ -75,7 +75,8 @@
 const (
 	// StoreConflict means that a conditional write found a newer version.
 	StoreConflict Code = iota + 3001
-	// StoreUnavailable means that the platform's store did not respond.
+	// StoreUnavailable means that the platform's store did not respond, or responded
+	// with a server error.
 	StoreUnavailable
 	// StoreTooLarge means a value above the store's size limit.
 	StoreTooLarge
