--- a/internal/base/event/list.go
+++ b/internal/base/event/list.go
@@ -21,9 +21,9 @@
 
 // Rule events.
 const (
-	// RulesInForce is logged when a generation becomes active on this gateway.
+	// RulesInForce is logged when a generation is put in force on this gateway.
 	RulesInForce Event = iota + 2001
-	// RulesRefused is logged when a submission, or a part of it, is rejected.
+	// RulesRefused is logged when a submission, or a part of it, is refused.
 	RulesRefused
 	// RulesAccepted is logged when this gateway has processed a submission.
 	RulesAccepted
