--- a/internal/peer/news/news.go
+++ b/internal/peer/news/news.go
@@ -166,7 +166,7 @@
 	Digest uint64
 }
 
-// AskRules requests the rules that follow generation Have. The answer is a series
+// AskRules requests the rules that follow generation Have. The reply is a series
 // of changes or the complete rules.
 type AskRules struct {
 	// Have is the generation that the requester holds; 0 for none.
--- a/internal/peer/news/relay.go
+++ b/internal/peer/news/relay.go
@@ -75,7 +75,7 @@
 // sent it, or empty for a message that originates here. Generation is the
 // generation in force before the message is applied.
 //
-// Marks and VMs are forwarded on every link except the one they came by. The
+// Marks and VMs are forwarded on every link except the one they arrived on. The
 // caller must pass only entries that were new to it: nothing else ends the flood. A
 // rule change is forwarded once, whether or not it applies to the rules in force
 // here, unless these already have its resulting generation or a higher one. For all
