--- a/internal/peer/link/link_test.go
+++ b/internal/peer/link/link_test.go
@@ -380,7 +380,7 @@
 }
 
 func TestDroppedNeighborIsClosed(t *testing.T) {
-	convey.Convey("Given a link to a peer that is no longer a neighbor, both ends close it", t, func() {
+	convey.Convey("Given a link to a peer that is no longer a neighbor, the link ends on both sides", t, func() {
 		a, b, _ := startPair(t, fastTiming())
 		a.links.SetNeighbors(nil)
 		waitFor(t, "the link to end", func() bool { return !a.isLinked("gateway-b") && !b.isLinked("gateway-a") })
