--- a/internal/standin/relay/pipe.go
+++ b/internal/standin/relay/pipe.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// chunk is the most that passes at a time, in bytes.
-const chunk = 16 << 10
+// chunkBytes is the size of the copy buffer.
+const chunkBytes = 16 << 10
 
-// pipe is one relayed connection. Its context ends when it is reset.
+// pipe is one relayed connection: a connection from the caller and one to the
+// target. Its context ends when it is reset.
 type pipe struct {
 	relay          *Relay
 	ctx            context.Context
@@ -21,30 +22,32 @@
 	silent         atomic.Bool
 }
 
-// pass copies bytes one way until that way ends or the pipe is reset.
-func (p *pipe) pass(to, from net.Conn, up bool) {
-	b := make([]byte, chunk)
+// copyOneWay copies data in one direction until that direction ends or the pipe
+// is reset.
+func (p *pipe) copyOneWay(to, from net.Conn, up bool) {
+	b := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(b)
-		if !p.wait(up) {
+		if !p.waitToPass(up) {
 			return
 		}
 		if n > 0 {
-			if _, failed := to.Write(b[:n]); failed != nil {
+			if _, writeErr := to.Write(b[:n]); writeErr != nil {
 				p.reset()
 				return
 			}
 		}
 		if err != nil {
-			p.end(to, err)
+			p.propagateEnd(to, err)
 			return
 		}
 	}
 }
 
-// wait returns true once bytes may pass one way, and false if they never will.
-func (p *pipe) wait(up bool) bool {
-	f, _ := p.relay.state()
+// waitToPass blocks until the faults let data pass in a direction. It returns
+// false if the pipe is reset first.
+func (p *pipe) waitToPass(up bool) bool {
+	f, _ := p.relay.currentFault()
 	if f.Delay > 0 {
 		timer := time.NewTimer(f.Delay)
 		defer timer.Stop()
@@ -55,7 +58,7 @@
 		}
 	}
 	for {
-		f, changed := p.relay.state()
+		f, changed := p.relay.currentFault()
 		if p.silent.Load() {
 			<-p.ctx.Done()
 			return false
@@ -71,19 +74,21 @@
 	}
 }
 
-// end passes the end of one way on: an orderly one as such, any other as a reset.
-func (p *pipe) end(to net.Conn, err error) {
+// propagateEnd propagates the end of one direction: EOF as a half-close, any
+// other error as a reset.
+func (p *pipe) propagateEnd(to net.Conn, err error) {
 	half, ok := to.(*net.TCPConn)
 	if !ok || !errors.Is(err, io.EOF) || half.CloseWrite() != nil {
 		p.reset()
 	}
 }
 
+// silence black-holes the pipe until it is reset.
 func (p *pipe) silence() {
 	p.silent.Store(true)
 }
 
-// reset ends both connections. What they have not passed on yet is lost.
+// reset resets both connections. Data that is not yet forwarded is lost.
 func (p *pipe) reset() {
 	p.cancel()
 	for _, c := range []net.Conn{p.caller, p.target} {
@@ -91,7 +96,7 @@
 	}
 }
 
-// abort closes a connection with a reset in place of an orderly end.
+// abort closes a connection with a TCP reset instead of an orderly close.
 func abort(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -1,12 +1,13 @@
-// Package relay passes bytes between callers and one target over the loopback
-// network, and can delay, hold, silence, reset or refuse their connections.
+// Package relay is a TCP proxy on the loopback interface that injects network
+// faults: it can delay, hold, silence, reset or refuse the connections between
+// callers and one target.
 //
 // # Usage
 //
 //	r, err := relay.New(ctx, "127.0.0.1:7000")
-//	// Callers dial r.Address() in place of the target.
-//	r.Set(relay.Fault{HoldDown: true}) // answers wait; requests still arrive
-//	r.Set(relay.Fault{})               // what was held goes on
+//	// Callers dial r.Address() instead of the target.
+//	r.Set(relay.Fault{HoldDown: true}) // responses are held; requests still arrive
+//	r.Set(relay.Fault{})               // held data is delivered
 //	r.Close()
 package relay
 
@@ -17,22 +18,24 @@
 	"time"
 )
 
-// network is the kind of all connections.
+// network is the network on which the relay listens and dials.
 const network = "tcp"
 
-// Fault is what happens to the connections of a relay. The zero value passes
-// everything on at once.
+// Fault is the set of faults injected into the connections of a relay. The zero
+// value injects none.
 type Fault struct {
-	// Delay holds back what passes, in each direction.
+	// Delay is added to the data in each direction.
 	Delay time.Duration
-	// HoldUp keeps bytes from callers back until the fault ends, and HoldDown
-	// bytes from the target, as a network does that is cut and sends again.
+	// HoldUp holds data from callers until the fault is cleared, and HoldDown
+	// data from the target. No data is lost, as on a network that fails for a
+	// time while TCP retransmits.
 	HoldUp, HoldDown bool
 	// Refuse resets new connections.
 	Refuse bool
 }
 
-// holds reports whether bytes wait that go up, from a caller, or down.
+// holds reports whether data is held in a direction: up from callers to the
+// target, or down.
 func (f Fault) holds(up bool) bool {
 	if up {
 		return f.HoldUp
@@ -40,20 +43,22 @@
 	return f.HoldDown
 }
 
-// Relay passes bytes on. It is safe for concurrent use.
+// Relay forwards connections to a target. It is safe for concurrent use.
 type Relay struct {
 	listener net.Listener
 	target   string
 	cancel   context.CancelFunc
-	ended    chan struct{}
+	closed   chan struct{}
 
-	mu      sync.Mutex
-	fault   Fault
+	mu    sync.Mutex
+	fault Fault
+	// changed is closed and replaced whenever fault is set.
 	changed chan struct{}
 	pipes   map[*pipe]struct{}
 }
 
-// New starts a relay, which ends with the context or at Close.
+// New starts a relay to a target. It runs until the context ends or Close is
+// called.
 func New(ctx context.Context, target string) (*Relay, error) {
 	var cfg net.ListenConfig
 	listener, err := cfg.Listen(ctx, network, "127.0.0.1:0")
@@ -65,7 +70,7 @@
 		listener: listener,
 		target:   target,
 		cancel:   cancel,
-		ended:    make(chan struct{}),
+		closed:   make(chan struct{}),
 		changed:  make(chan struct{}),
 		pipes:    make(map[*pipe]struct{}),
 	}
@@ -73,12 +78,12 @@
 	return r, nil
 }
 
-// Address returns the address that callers dial.
+// Address returns the address on which the relay accepts connections.
 func (r *Relay) Address() string {
 	return r.listener.Addr().String()
 }
 
-// Set replaces the fault, for open and new connections.
+// Set replaces the injected faults, for open and new connections.
 func (r *Relay) Set(f Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,18 +92,19 @@
 	r.changed = make(chan struct{})
 }
 
-// Reset resets the open connections and returns their number.
+// Reset resets all open connections and returns their number.
 func (r *Relay) Reset() int {
-	return r.each((*pipe).reset)
+	return r.forEachPipe((*pipe).reset)
 }
 
-// Silence makes the open connections silent for good and returns their number:
-// what is sent on them is lost, and so is their end. New connections work.
+// Silence black-holes the open connections and returns their number: data sent
+// on them, and their close, never reaches the other side. New connections work.
 func (r *Relay) Silence() int {
-	return r.each((*pipe).silence)
+	return r.forEachPipe((*pipe).silence)
 }
 
-func (r *Relay) each(do func(*pipe)) int {
+// forEachPipe calls do for each open connection and returns their number.
+func (r *Relay) forEachPipe(do func(*pipe)) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := range r.pipes {
@@ -107,18 +113,18 @@
 	return len(r.pipes)
 }
 
-// Close ends the relay and its connections, and returns when all have ended.
+// Close stops the relay, resets its connections and waits until all have ended.
 func (r *Relay) Close() {
 	r.cancel()
-	<-r.ended
+	<-r.closed
 }
 
-// accept relays connections until the listener closes, and then ends those that
-// are open.
+// accept serves connections until the listener is closed, then waits until the
+// open ones have ended.
 func (r *Relay) accept(ctx context.Context) {
-	defer close(r.ended)
-	var open sync.WaitGroup
-	defer open.Wait()
+	defer close(r.closed)
+	var pipes sync.WaitGroup
+	defer pipes.Wait()
 	stop := context.AfterFunc(ctx, func() { _ = r.listener.Close() })
 	defer stop()
 	for {
@@ -127,13 +133,14 @@
 			r.cancel()
 			return
 		}
-		open.Go(func() { r.connect(ctx, caller) })
+		pipes.Go(func() { r.serve(ctx, caller) })
 	}
 }
 
-// connect dials the target for a caller and passes bytes until both ways have
-// ended. A caller whose target cannot be reached is reset.
-func (r *Relay) connect(ctx context.Context, caller net.Conn) {
+// serve dials the target for a caller and forwards data until both directions
+// have ended. If the target cannot be reached, the caller's connection is
+// reset.
+func (r *Relay) serve(ctx context.Context, caller net.Conn) {
 	var dialer net.Dialer
 	target, err := dialer.DialContext(ctx, network, r.target)
 	if err != nil {
@@ -149,12 +156,12 @@
 	defer r.remove(p)
 	defer context.AfterFunc(ctx, p.reset)()
 	var up sync.WaitGroup
-	up.Go(func() { p.pass(target, caller, true) })
-	p.pass(caller, target, false)
+	up.Go(func() { p.copyOneWay(target, caller, true) })
+	p.copyOneWay(caller, target, false)
 	up.Wait()
 }
 
-// add keeps a connection, unless new ones are refused.
+// add registers a connection, or returns false if new ones are refused.
 func (r *Relay) add(p *pipe) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -171,8 +178,9 @@
 	delete(r.pipes, p)
 }
 
-// state returns the present fault, and a channel that is closed when it changes.
-func (r *Relay) state() (Fault, <-chan struct{}) {
+// currentFault returns the current fault, and a channel that is closed when it
+// is replaced.
+func (r *Relay) currentFault() (Fault, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.fault, r.changed
--- a/internal/standin/relay/relay_test.go
+++ b/internal/standin/relay/relay_test.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	// patience bounds waits for what must happen at some time.
-	patience = 30 * time.Second
-	// quiet is how long something that must not happen is waited for.
-	quiet = 100 * time.Millisecond
+	// waitTimeout bounds waits for expected events.
+	waitTimeout = 30 * time.Second
+	// absenceWait is how long a test waits before it concludes that no data
+	// arrives.
+	absenceWait = 100 * time.Millisecond
 )
 
-// echo starts a target that sends back what it gets.
-func echo(t testing.TB) string {
+// startEchoServer starts a target that echoes data, and returns its address.
+func startEchoServer(t testing.TB) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -42,7 +43,7 @@
 }
 
 func newRelay(t testing.TB) *relay.Relay {
-	r, err := relay.New(context.Background(), echo(t))
+	r, err := relay.New(context.Background(), startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,53 +51,53 @@
 	return r
 }
 
-// open opens a connection that echoes.
-func open(t testing.TB, r *relay.Relay) net.Conn {
+// openConn opens a connection through the relay and checks that it echoes.
+func openConn(t testing.TB, r *relay.Relay) net.Conn {
 	c, err := net.Dial("tcp", r.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	if !passes(c) {
-		t.Fatal("a new connection does not echo")
+	if !echoes(c) {
+		t.Fatal("new connection does not echo data")
 	}
 	return c
 }
 
-// admits tells whether a new connection echoes. A reset can come while it is
-// dialled or afterwards.
-func admits(r *relay.Relay) bool {
+// acceptsNew reports whether a new connection through the relay echoes. A
+// refused connection can be reset during the dial or afterwards.
+func acceptsNew(r *relay.Relay) bool {
 	c, err := net.Dial("tcp", r.Address())
 	if err != nil {
 		return false
 	}
 	defer func() { _ = c.Close() }()
-	return passes(c)
+	return echoes(c)
 }
 
-// receive reads n bytes within the given time.
-func receive(c net.Conn, n int, d time.Duration) (string, error) {
+// readWithin reads n bytes within the given time.
+func readWithin(c net.Conn, n int, d time.Duration) (string, error) {
 	_ = c.SetReadDeadline(time.Now().Add(d))
 	b := make([]byte, n)
 	_, err := io.ReadFull(c, b)
 	return string(b), err
 }
 
-// passes tells whether a connection echoes.
-func passes(c net.Conn) bool {
+// echoes reports whether a connection echoes data.
+func echoes(c net.Conn) bool {
 	if _, err := c.Write([]byte("load")); err != nil {
 		return false
 	}
-	s, err := receive(c, 4, patience)
+	s, err := readWithin(c, 4, waitTimeout)
 	return err == nil && s == "load"
 }
 
 func TestRelay(t *testing.T) {
 	convey.Convey("Given a relay with an open connection", t, func() {
 		r := newRelay(t)
-		c := open(t, r)
+		c := openConn(t, r)
 
-		convey.Convey("an orderly end reaches the other side after the last byte", func() {
+		convey.Convey("a half-close reaches the other side after the last byte", func() {
 			_, err := c.Write([]byte("last"))
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(c.(*net.TCPConn).CloseWrite(), convey.ShouldBeNil)
@@ -105,51 +106,51 @@
 			convey.So(string(b), convey.ShouldEqual, "last")
 		})
 		for name, f := range map[string]relay.Fault{"up": {HoldUp: true}, "down": {HoldDown: true}} {
-			convey.Convey("bytes that are held "+name+" pass when the fault ends, and none is lost", func() {
+			convey.Convey("data held "+name+"stream is delivered without loss when the fault is cleared", func() {
 				r.Set(f)
 				_, err := c.Write([]byte("held"))
 				convey.So(err, convey.ShouldBeNil)
-				_, err = receive(c, 4, quiet)
+				_, err = readWithin(c, 4, absenceWait)
 				convey.So(err, convey.ShouldNotBeNil)
 				r.Set(relay.Fault{})
-				s, err := receive(c, 4, patience)
+				s, err := readWithin(c, 4, waitTimeout)
 				convey.So(err, convey.ShouldBeNil)
 				convey.So(s, convey.ShouldEqual, "held")
 			})
 		}
-		convey.Convey("a delay holds both directions", func() {
+		convey.Convey("the delay applies to both directions", func() {
 			const delay = 30 * time.Millisecond
 			r.Set(relay.Fault{Delay: delay})
-			begin := time.Now()
-			convey.So(passes(c), convey.ShouldBeTrue)
-			convey.So(time.Since(begin), convey.ShouldBeGreaterThanOrEqualTo, 2*delay)
+			start := time.Now()
+			convey.So(echoes(c), convey.ShouldBeTrue)
+			convey.So(time.Since(start), convey.ShouldBeGreaterThanOrEqualTo, 2*delay)
 		})
-		convey.Convey("a silent connection stays silent, and a new one works", func() {
+		convey.Convey("a silenced connection gets no response, and a new one works", func() {
 			convey.So(r.Silence(), convey.ShouldEqual, 1)
 			_, err := c.Write([]byte("lost"))
 			convey.So(err, convey.ShouldBeNil)
-			_, err = receive(c, 4, quiet)
+			_, err = readWithin(c, 4, absenceWait)
 			convey.So(err, convey.ShouldNotBeNil)
-			convey.So(admits(r), convey.ShouldBeTrue)
+			convey.So(acceptsNew(r), convey.ShouldBeTrue)
 		})
-		convey.Convey("a reset ends it, and a new one works", func() {
+		convey.Convey("a reset ends the connection, and a new one works", func() {
 			convey.So(r.Reset(), convey.ShouldEqual, 1)
-			convey.So(passes(c), convey.ShouldBeFalse)
-			convey.So(admits(r), convey.ShouldBeTrue)
+			convey.So(echoes(c), convey.ShouldBeFalse)
+			convey.So(acceptsNew(r), convey.ShouldBeTrue)
 		})
-		convey.Convey("new connections can be refused while it goes on", func() {
+		convey.Convey("new connections can be refused while the open one works", func() {
 			r.Set(relay.Fault{Refuse: true})
-			convey.So(admits(r), convey.ShouldBeFalse)
-			convey.So(passes(c), convey.ShouldBeTrue)
+			convey.So(acceptsNew(r), convey.ShouldBeFalse)
+			convey.So(echoes(c), convey.ShouldBeTrue)
 		})
 	})
-	convey.Convey("A caller whose target is gone is reset", t, func() {
+	convey.Convey("A connection is reset if the target cannot be reached", t, func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(l.Close(), convey.ShouldBeNil)
 		r, err := relay.New(context.Background(), l.Addr().String())
 		convey.So(err, convey.ShouldBeNil)
 		defer r.Close()
-		convey.So(admits(r), convey.ShouldBeFalse)
+		convey.So(acceptsNew(r), convey.ShouldBeFalse)
 	})
 }
