--- a/internal/standin/server/network.go
+++ b/internal/standin/server/network.go
@@ -7,44 +7,45 @@
 	"time"
 )
 
-// Distant returns a handler that is reached over a network with the given delay
-// in each direction. The delay of the answer comes before its first byte.
+// Distant wraps a handler with a simulated one-way network latency in each
+// direction. The latency of the response delays its first byte only.
 func Distant(next http.Handler, oneWay time.Duration) http.Handler {
 	if oneWay <= 0 {
 		return next
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(oneWay)
-		next.ServeHTTP(&distantWriter{ResponseWriter: w, delay: oneWay}, r)
+		next.ServeHTTP(&latencyWriter{ResponseWriter: w, delay: oneWay}, r)
 	})
 }
 
-// distantWriter holds back the first byte of an answer.
-type distantWriter struct {
+// latencyWriter delays the first byte of a response.
+type latencyWriter struct {
 	http.ResponseWriter
 	delay time.Duration
 	once  sync.Once
 }
 
 // WriteHeader waits for the delay, then writes the header.
-func (w *distantWriter) WriteHeader(status int) {
+func (w *latencyWriter) WriteHeader(status int) {
 	w.once.Do(func() { time.Sleep(w.delay) })
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Write waits for the delay at the first byte, then writes p.
-func (w *distantWriter) Write(p []byte) (int, error) {
+// Write waits for the delay before the first byte, then writes p.
+func (w *latencyWriter) Write(p []byte) (int, error) {
 	w.once.Do(func() { time.Sleep(w.delay) })
 	return w.ResponseWriter.Write(p)
 }
 
-// Unwrap returns the writer for http.ResponseController.
-func (w *distantWriter) Unwrap() http.ResponseWriter {
+// Unwrap returns the underlying writer for http.ResponseController.
+func (w *latencyWriter) Unwrap() http.ResponseWriter {
 	return w.ResponseWriter
 }
 
-// SilentListener is a listener whose open connections can go silent for good:
-// what they send and receive is lost, while new connections work.
+// SilentListener wraps a listener. Its open connections can be black-holed:
+// their data is discarded in both directions while they stay open. New
+// connections work.
 type SilentListener struct {
 	net.Listener
 
@@ -52,7 +53,7 @@
 	conns map[*silentConn]struct{}
 }
 
-// NewSilentListener returns a listener over l.
+// NewSilentListener returns a SilentListener that wraps l.
 func NewSilentListener(l net.Listener) *SilentListener {
 	return &SilentListener{Listener: l, conns: make(map[*silentConn]struct{})}
 }
@@ -63,14 +64,14 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &silentConn{Conn: conn, owner: l}
+	c := &silentConn{Conn: conn, listener: l}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conns[c] = struct{}{}
 	return c, nil
 }
 
-// Silence makes all open connections silent, and returns how many.
+// Silence black-holes all open connections and returns their number.
 func (l *SilentListener) Silence() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,9 +83,10 @@
 	return len(l.conns)
 }
 
+// silentConn is a connection that can be black-holed.
 type silentConn struct {
 	net.Conn
-	owner *SilentListener
+	listener *SilentListener
 
 	mu     sync.Mutex
 	silent bool
@@ -96,7 +98,8 @@
 	return c.silent
 }
 
-// Read reads until the connection is silent, and then drops what comes.
+// Read reads from the connection. Once it is silent, Read discards all data and
+// returns only when the connection ends.
 func (c *silentConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
@@ -106,7 +109,8 @@
 	}
 }
 
-// Write writes until the connection is silent, and then drops p.
+// Write writes to the connection. Once it is silent, Write discards p and
+// reports success.
 func (c *silentConn) Write(p []byte) (int, error) {
 	if c.isSilent() {
 		return len(p), nil
@@ -116,8 +120,8 @@
 
 // Close closes the connection.
 func (c *silentConn) Close() error {
-	c.owner.mu.Lock()
-	delete(c.owner.conns, c)
-	c.owner.mu.Unlock()
+	c.listener.mu.Lock()
+	delete(c.listener.conns, c)
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -1,6 +1,7 @@
-// Package server is a small stand-in for an endpoint server: a fixed number of
-// slots, a load report on each answer, draining, shedding and cold starts. It
-// counts executions by attempt, which makes it the judge of at-most-once tests.
+// Package server is a test double of an endpoint server: an HTTP server with a
+// fixed number of request slots, a load report in each response, draining, load
+// shedding and cold starts. It counts executions by attempt ID, so that tests
+// can check at-most-once execution.
 //
 // # Usage
 //
@@ -26,89 +27,97 @@
 )
 
 const (
-	// NotRunHeader declares that the server did not run the request.
+	// NotRunHeader is the response header by which the server declares that it
+	// did not run the request.
 	NotRunHeader = "Endpoint-Not-Run"
-	// RequestHeader names a caller's request.
+	// RequestHeader is the request header with the caller's request ID.
 	RequestHeader = "Request-ID"
 )
 
-// coldFactor multiplies working times during a cold start.
-const coldFactor = 3
+// coldStartFactor multiplies working times during a cold start.
+const coldStartFactor = 3
 
 // Config configures a Server.
 type Config struct {
-	// Name identifies the server.
+	// Name identifies the server in responses and records.
 	Name string
-	// Slots is how many requests run at a time.
+	// Slots is the maximum number of requests that run at a time.
 	Slots int
-	// Queue is how many more requests wait; the rest are shed.
+	// Queue is the maximum number of requests that wait for a slot; more are
+	// shed.
 	Queue int
-	// Work is the mean time that a request takes. A request may state its own
-	// time in the Work query parameter.
+	// Work is the mean working time of a request. A request overrides it with
+	// the Work query parameter.
 	Work time.Duration
-	// Cold is how long the server is slow after its start.
+	// Cold is the length of the cold start, during which working times are
+	// longer.
 	Cold time.Duration
-	// Neighbour is a noisy neighbour that slows the server down now and then.
+	// Neighbour is a noisy neighbour on the same host.
 	Neighbour Neighbour
-	// Seed seeds the spread of working times.
+	// Seed seeds the random working times and the busy periods of the neighbour.
 	Seed uint64
-	// Record, if set, receives a line of JSON with an Execution before each one
-	// begins, so that it is known even if the process is killed at once.
+	// Record, if not nil, receives an Execution as a line of JSON before each
+	// execution begins, so that executions are known even if the process is
+	// killed.
 	Record io.Writer
 }
 
-// Mode changes how the server behaves while it runs.
+// Mode is the behavior of the server that can be changed while it runs.
 type Mode struct {
-	// Draining makes the server refuse new requests and say so in its reports.
+	// Draining makes the server refuse new requests and report that it is
+	// draining.
 	Draining bool
 	// Factor multiplies working times; 0 means 1.
 	Factor float64
-	// FailFast answers every request with 500 at once.
+	// FailFast makes the server respond to requests with 500 without doing any
+	// work.
 	FailFast bool
-	// ReportInFlight, if positive or zero, replaces the reported load.
+	// ReportInFlight, if not nil, replaces the reported number of requests in
+	// flight.
 	ReportInFlight *int
-	// ReportEvery, if set, is how long a report is repeated before the load is
-	// read anew.
+	// ReportEvery is the time for which the reported load is cached; 0 disables
+	// the cache.
 	ReportEvery time.Duration
 }
 
-// Server is a stand-in endpoint server.
+// Server is a simulated endpoint server. It is safe for concurrent use.
 type Server struct {
 	cfg   Config
 	slots chan struct{}
 
-	mu       sync.Mutex
-	start    time.Time
-	noise    noise
-	read     int
-	readAt   time.Time
-	rng      *rand.Rand
-	mode     Mode
-	inFlight int
-	runs     map[string]int
-	total    int64
-	probes   int64
-	shed     int64
+	mu        sync.Mutex
+	startedAt time.Time
+	neighbour neighbourState
+	// reportedLoad is the load read last, at reportedAt.
+	reportedLoad int
+	reportedAt   time.Time
+	rng          *rand.Rand
+	mode         Mode
+	inFlight     int
+	runs         map[string]int
+	total        int64
+	probes       int64
+	shed         int64
 }
 
 // New returns a server whose cold start begins now.
 func New(cfg Config) *Server {
 	return &Server{
-		cfg:   cfg,
-		slots: make(chan struct{}, cfg.Slots),
-		start: time.Now(),
-		rng:   rand.New(rand.NewPCG(cfg.Seed, 1)),
-		noise: newNoise(cfg.Neighbour, cfg.Seed),
-		runs:  make(map[string]int),
+		cfg:       cfg,
+		slots:     make(chan struct{}, cfg.Slots),
+		startedAt: time.Now(),
+		rng:       rand.New(rand.NewPCG(cfg.Seed, 1)),
+		neighbour: newNeighbourState(cfg.Neighbour, cfg.Seed),
+		runs:      make(map[string]int),
 	}
 }
 
-// Restart begins a cold start of the given length.
+// Restart begins a new cold start of the given length.
 func (s *Server) Restart(cold time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cfg.Cold = cold
-	s.start = time.Now()
+	s.startedAt = time.Now()
 }
 
 // SetMode replaces the mode.
@@ -118,14 +127,14 @@
 	s.mode = m
 }
 
-// Handler returns the server's HTTP interface. Every path but /load, /mode and
-// /count is a unit of work.
+// Handler returns the HTTP API of the server. Requests to any path other than
+// /load, /mode and /count are executed as work.
 func (s *Server) Handler() http.Handler {
 	r := mux.NewRouter()
-	r.HandleFunc("/load", s.probe)
+	r.HandleFunc("/load", s.handleProbe)
 	r.HandleFunc("/mode", s.putMode).Methods(http.MethodPut)
-	r.HandleFunc("/count", s.count)
-	r.PathPrefix("/").HandlerFunc(s.work)
+	r.HandleFunc("/count", s.handleCount)
+	r.PathPrefix("/").HandlerFunc(s.handleWork)
 	return r
 }
 
@@ -138,37 +147,37 @@
 	s.SetMode(m)
 }
 
-func (s *Server) probe(w http.ResponseWriter, _ *http.Request) {
+// handleProbe responds to a load probe.
+func (s *Server) handleProbe(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	s.probes++
 	s.mu.Unlock()
-	s.report(w.Header())
+	s.setReportHeader(w.Header())
 }
 
-// Execution is one time that a server began to run a request.
+// Execution records that a server began to run a request.
 type Execution struct {
 	// Server is the name of the server.
 	Server string
-	// Request is the caller's name of the request, and Attempt the gateway's name
-	// of the attempt.
+	// Request is the caller's request ID, and Attempt the gateway's attempt ID.
 	Request, Attempt string
-	// At is when it began.
+	// At is when the execution began.
 	At time.Time
 }
 
-// Count is what the server has counted.
+// Count holds the counters of a server.
 type Count struct {
-	// Runs is the number of executions by attempt id.
+	// Runs is the number of executions by attempt ID.
 	Runs map[string]int
 	// Total is the number of executions.
 	Total int64
 	// Probes is the number of load probes answered.
 	Probes int64
-	// Shed is the number of requests refused for load or draining.
+	// Shed is the number of requests refused because of load or draining.
 	Shed int64
 }
 
-// Count returns a copy of the counts.
+// Count returns a copy of the counters.
 func (s *Server) Count() Count {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,37 +188,40 @@
 	return c
 }
 
-func (s *Server) count(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleCount(w http.ResponseWriter, _ *http.Request) {
 	_ = json.NewEncoder(w).Encode(s.Count())
 }
 
-// report writes the load report header.
-func (s *Server) report(h http.Header) {
+// setReportHeader sets the load report header.
+func (s *Server) setReportHeader(h http.Header) {
 	s.mu.Lock()
-	inFlight, draining := s.readLoad(time.Now()), s.mode.Draining
+	inFlight, draining := s.loadToReport(time.Now()), s.mode.Draining
 	s.mu.Unlock()
 	h.Set(report.Header, report.Format(inFlight, s.cfg.Slots, draining))
 }
 
-// readLoad returns the load to report. The caller holds mu.
-func (s *Server) readLoad(now time.Time) int {
+// loadToReport returns the number of requests in flight to report. The caller
+// holds mu.
+func (s *Server) loadToReport(now time.Time) int {
 	if s.mode.ReportInFlight != nil {
 		return *s.mode.ReportInFlight
 	}
-	if now.Sub(s.readAt) >= s.mode.ReportEvery {
-		s.read, s.readAt = s.inFlight, now
+	if now.Sub(s.reportedAt) >= s.mode.ReportEvery {
+		s.reportedLoad, s.reportedAt = s.inFlight, now
 	}
-	return s.read
+	return s.reportedLoad
 }
 
-func (s *Server) work(w http.ResponseWriter, r *http.Request) {
-	if !s.enter() {
-		s.report(w.Header())
+// handleWork executes a request, or sheds it if the queue is full or the server
+// is draining.
+func (s *Server) handleWork(w http.ResponseWriter, r *http.Request) {
+	if !s.admit() {
+		s.setReportHeader(w.Header())
 		w.Header().Set(NotRunHeader, "1")
 		http.Error(w, "shed", http.StatusServiceUnavailable)
 		return
 	}
-	defer s.leave()
+	defer s.release()
 	select {
 	case s.slots <- struct{}{}:
 	case <-r.Context().Done():
@@ -217,7 +229,7 @@
 	}
 	defer func() { <-s.slots }()
 	id := r.Header.Get(header.Attempt)
-	fail, err := s.run(time.Now(), id, r.Header.Get(RequestHeader))
+	fail, err := s.recordExecution(time.Now(), id, r.Header.Get(RequestHeader))
 	if err != nil {
 		w.Header().Set(NotRunHeader, "1")
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -226,18 +238,18 @@
 	w.Header().Set(header.Attempt, id)
 	w.Header().Set("Endpoint-Server", s.cfg.Name)
 	if fail {
-		s.report(w.Header())
+		s.setReportHeader(w.Header())
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
 	}
-	if !s.sleep(r) {
+	if !s.simulateWork(r) {
 		return
 	}
-	s.answer(w, r)
+	s.writeResponse(w, r)
 }
 
-// enter counts a request in, or refuses it.
-func (s *Server) enter() bool {
+// admit counts a request as in flight, or returns false if it must be shed.
+func (s *Server) admit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.mode.Draining || s.inFlight >= s.cfg.Slots+s.cfg.Queue {
@@ -248,15 +260,16 @@
 	return true
 }
 
-func (s *Server) leave() {
+// release undoes admit when the request has ended.
+func (s *Server) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight--
 }
 
-// run records and counts an execution, and tells whether it fails at once. One
-// that cannot be recorded does not happen.
-func (s *Server) run(now time.Time, attempt, request string) (fail bool, err error) {
+// recordExecution records and counts an execution, and reports whether it must
+// fail immediately. After an error the request must not be run.
+func (s *Server) recordExecution(now time.Time, attempt, request string) (fail bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.cfg.Record != nil {
@@ -270,9 +283,10 @@
 	return s.mode.FailFast, nil
 }
 
-// sleep takes the working time, and returns false if the request was canceled.
-func (s *Server) sleep(r *http.Request) bool {
-	timer := time.NewTimer(s.duration(time.Now(), r.URL.Query().Get("Work")))
+// simulateWork sleeps for the working time, and returns false if the request
+// was canceled.
+func (s *Server) simulateWork(r *http.Request) bool {
+	timer := time.NewTimer(s.workDuration(time.Now(), r.URL.Query().Get("Work")))
 	defer timer.Stop()
 	select {
 	case <-r.Context().Done():
@@ -282,32 +296,33 @@
 	}
 }
 
-// duration returns the working time of a request that begins now and states
-// the given time, if any.
-func (s *Server) duration(now time.Time, stated string) time.Duration {
+// workDuration returns the working time of a request that begins now. The Work
+// parameter of the request, if valid, replaces a random time.
+func (s *Server) workDuration(now time.Time, stated string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d, err := time.ParseDuration(stated)
 	if err != nil {
 		d = time.Duration(s.rng.ExpFloat64() * float64(s.cfg.Work))
 	}
-	factor := s.noise.factor(now)
+	factor := s.neighbour.factor(now)
 	if s.mode.Factor > 0 {
 		factor *= s.mode.Factor
 	}
-	if now.Sub(s.start) < s.cfg.Cold {
-		factor *= coldFactor
+	if now.Sub(s.startedAt) < s.cfg.Cold {
+		factor *= coldStartFactor
 	}
 	return time.Duration(float64(d) * factor)
 }
 
-// answer echoes the body, or sends as many bytes as the Size parameter asks.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request) {
-	s.report(w.Header())
+// writeResponse sends the number of bytes given by the Size parameter, echoes
+// the request body, or sends a line about the request if it has no body.
+func (s *Server) writeResponse(w http.ResponseWriter, r *http.Request) {
+	s.setReportHeader(w.Header())
 	if text := r.URL.Query().Get("Size"); text != "" {
 		size, _ := strconv.ParseInt(text, 10, 64)
 		w.Header().Set("Content-Length", strconv.FormatInt(size, 10))
-		_, _ = io.CopyN(w, zeros{}, size)
+		_, _ = io.CopyN(w, zeroReader{}, size)
 		return
 	}
 	if r.ContentLength != 0 {
@@ -317,21 +332,22 @@
 	_, _ = fmt.Fprintf(w, "%s %s from %s\n", r.Method, r.URL.Path, s.cfg.Name)
 }
 
-// echo sends the body back while it arrives. An echo that cannot be whole is cut.
+// echo streams the request body back. If the body cannot be read to its end,
+// the response is aborted.
 func echo(w http.ResponseWriter, r *http.Request) {
-	// Without full duplex, net/http drops what is left of the body when the answer
-	// begins. HTTP/2 always has it and says that it cannot be enabled.
+	// Without full duplex, net/http discards the rest of the request body once the
+	// response begins. HTTP/2 is always full duplex and returns an error here.
 	_ = http.NewResponseController(w).EnableFullDuplex()
 	if _, err := io.Copy(w, r.Body); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// zeros is an endless reader of zero bytes.
-type zeros struct{}
+// zeroReader is an infinite reader of zero bytes.
+type zeroReader struct{}
 
 // Read fills p with zeros.
-func (zeros) Read(p []byte) (int, error) {
+func (zeroReader) Read(p []byte) (int, error) {
 	clear(p)
 	return len(p), nil
 }
--- a/internal/standin/server/server_test.go
+++ b/internal/standin/server/server_test.go
@@ -25,17 +25,17 @@
 	convey.Convey("Given a server with one slot and no queue", t, func() {
 		s := server.New(server.Config{Name: "booking-01", Slots: 1, Work: time.Hour})
 		h := s.Handler()
-		convey.Convey("a request takes the time that it states", func() {
+		convey.Convey("the Work parameter overrides the working time", func() {
 			w := get(h, "/Booking?Work=1ms")
 			convey.So(w.Code, convey.ShouldEqual, http.StatusOK)
 			convey.So(s.Count().Total, convey.ShouldEqual, 1)
 		})
-		convey.Convey("a second request is shed, reported and not run", func() {
-			front := httptest.NewServer(h)
-			defer front.Close()
+		convey.Convey("a second request is shed without running, and the load report counts only the first", func() {
+			srv := httptest.NewServer(h)
+			defer srv.Close()
 			done := make(chan error, 1)
 			go func() {
-				resp, err := http.Get(front.URL + "/?Work=300ms")
+				resp, err := http.Get(srv.URL + "/?Work=300ms")
 				if err == nil {
 					err = resp.Body.Close()
 				}
@@ -53,7 +53,7 @@
 			convey.So(<-done, convey.ShouldBeNil)
 			convey.So(s.Count().Total, convey.ShouldEqual, 1)
 		})
-		convey.Convey("a report that is read seldom stays the same", func() {
+		convey.Convey("load reports are cached for ReportEvery", func() {
 			s.SetMode(server.Mode{ReportEvery: time.Hour})
 			first := get(h, "/load").Header().Get(report.Header)
 			convey.So(get(h, "/load").Header().Get(report.Header), convey.ShouldEqual, first)
@@ -62,29 +62,29 @@
 }
 
 func TestSilentListener(t *testing.T) {
-	convey.Convey("Given a listener whose open connections went silent", t, func() {
-		plain, err := net.Listen("tcp", "127.0.0.1:0")
+	convey.Convey("Given a listener whose open connections are silenced", t, func() {
+		tcp, err := net.Listen("tcp", "127.0.0.1:0")
 		convey.So(err, convey.ShouldBeNil)
-		l := server.NewSilentListener(plain)
+		l := server.NewSilentListener(tcp)
 		srv := &http.Server{Handler: server.Distant(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), time.Millisecond)}
-		ended := make(chan error, 1)
-		go func() { ended <- srv.Serve(l) }()
-		ask := func(c net.Conn) error {
+		serveErr := make(chan error, 1)
+		go func() { serveErr <- srv.Serve(l) }()
+		roundTrip := func(c net.Conn) error {
 			_ = c.SetDeadline(time.Now().Add(200 * time.Millisecond))
 			_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 			_, err := http.ReadResponse(bufio.NewReader(c), nil)
 			return err
 		}
-		old, err := net.Dial("tcp", plain.Addr().String())
+		silenced, err := net.Dial("tcp", tcp.Addr().String())
 		convey.So(err, convey.ShouldBeNil)
-		convey.So(ask(old), convey.ShouldBeNil)
+		convey.So(roundTrip(silenced), convey.ShouldBeNil)
 		convey.So(l.Silence(), convey.ShouldEqual, 1)
-		convey.So(ask(old), convey.ShouldNotBeNil)
-		fresh, err := net.Dial("tcp", plain.Addr().String())
+		convey.So(roundTrip(silenced), convey.ShouldNotBeNil)
+		fresh, err := net.Dial("tcp", tcp.Addr().String())
 		convey.So(err, convey.ShouldBeNil)
-		convey.So(ask(fresh), convey.ShouldBeNil)
-		_, _ = old.Close(), fresh.Close()
+		convey.So(roundTrip(fresh), convey.ShouldBeNil)
+		_, _ = silenced.Close(), fresh.Close()
 		convey.So(srv.Close(), convey.ShouldBeNil)
-		convey.So(<-ended, convey.ShouldEqual, http.ErrServerClosed)
+		convey.So(<-serveErr, convey.ShouldEqual, http.ErrServerClosed)
 	})
 }
