--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,5 +1,6 @@
-// Package platform is a small stand-in for the users' platform: an object store
-// with versions, conditional updates and watches, and a lagging list of VMs.
+// Package platform is an in-memory test double of the hosting platform: an HTTP
+// object store with versions, conditional writes and long-poll watches, and an
+// eventually consistent list of VMs.
 //
 // # Usage
 //
@@ -25,74 +26,81 @@
 	"mustardsaddle.example/mustardsaddle"
 )
 
-// maxValueBytes is the largest value that the store accepts.
+// maxValueBytes is the maximum size of a stored value.
 const maxValueBytes = 1 << 20
 
-// maxWait bounds a watch.
+// maxWait is the maximum duration of a watch request.
 const maxWait = time.Minute
 
 // Config configures a Platform.
 type Config struct {
-	// Lag is how late the list of VMs shows a change.
+	// Lag is the delay before a change to a VM appears in the list of VMs.
 	Lag time.Duration
 }
 
-// Platform keeps objects and VMs in memory.
+// Platform is an HTTP service that keeps objects and VMs in memory. It is safe
+// for concurrent use.
 type Platform struct {
 	cfg Config
 
 	mu       sync.Mutex
 	objects  map[string]*object
-	machines map[string]machine
+	machines map[string]machineEntry
 	counts   Counts
 	fault    Fault
 	limiter  *rate.Limiter
 }
 
-// Fault makes the platform misbehave.
+// Fault selects the failures to simulate. The zero value simulates none.
 type Fault struct {
-	// Down refuses every call with 503.
+	// Down makes every store and list request fail with 503.
 	Down bool
-	// Delay holds every call.
+	// Delay is added to every store and list request.
 	Delay time.Duration
-	// LoseAnswers applies writes but closes the connection without an answer.
+	// LoseAnswers applies writes but closes the connection without a response.
 	LoseAnswers bool
-	// HoldWatches keeps watches silent until their wait ends.
+	// HoldWatches makes watches ignore changes, so that they last until their
+	// wait time expires.
 	HoldWatches bool
-	// CallsPerSecond is the rate above which calls are refused with 429; 0 means
-	// no limit.
+	// CallsPerSecond is the rate limit; requests above it get 429. 0 means no
+	// limit.
 	CallsPerSecond int
 }
 
-// Counts are the calls that the platform has received.
+// Counts are the numbers of store and list requests received.
 type Counts struct {
-	// Reads, Watches and Writes are the calls, refused ones included.
+	// Reads, Watches and Writes count the requests of each kind, including
+	// refused ones.
 	Reads, Watches, Writes int64
-	// Refused are the calls above the rate.
+	// Refused counts the requests refused by the rate limit.
 	Refused int64
 }
 
+// object is a stored object with all its versions; version n is versions[n-1].
 type object struct {
 	versions [][]byte
-	changed  chan struct{}
+	// changed is closed and replaced at each write.
+	changed chan struct{}
 }
 
-type machine struct {
-	shown   *mustardsaddle.Machine
-	next    *mustardsaddle.Machine
-	shownAt time.Time
+// machineEntry is a VM in the list. Its pending state replaces the visible one
+// at pendingAt. A nil state means that the VM is not listed.
+type machineEntry struct {
+	visible   *mustardsaddle.Machine
+	pending   *mustardsaddle.Machine
+	pendingAt time.Time
 }
 
-// New returns an empty platform.
+// New returns a platform without objects or VMs.
 func New(cfg Config) *Platform {
 	return &Platform{
 		cfg:      cfg,
 		objects:  make(map[string]*object),
-		machines: make(map[string]machine),
+		machines: make(map[string]machineEntry),
 	}
 }
 
-// SetFault replaces the current fault.
+// SetFault replaces the simulated failures.
 func (p *Platform) SetFault(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,42 +111,45 @@
 	}
 }
 
-// Calls returns how many calls the platform has counted.
+// Calls returns the total number of store and list requests received.
 func (p *Platform) Calls() int64 {
 	n := p.Counts()
 	return n.Reads + n.Watches + n.Writes
 }
 
-// Counts returns the calls by kind.
+// Counts returns the numbers of requests by kind.
 func (p *Platform) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counts
 }
 
-// History returns the versions of an object, the oldest first.
+// History returns all versions of an object, oldest first.
 func (p *Platform) History(key string) [][]byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Clone(p.objectOf(key).versions)
+	return slices.Clone(p.getOrCreateObject(key).versions)
 }
 
-// Handler returns the platform's HTTP interface.
+// Handler returns the HTTP API of the platform, with the endpoints for changing
+// VMs and simulated failures.
 func (p *Platform) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/faults", p.putFault).Methods(http.MethodPut)
 	r.HandleFunc("/machines/{name}", p.putMachine).Methods(http.MethodPut)
 	r.HandleFunc("/machines/{name}", p.deleteMachine).Methods(http.MethodDelete)
-	r.Handle("/machines", p.faulty(p.listMachines)).Methods(http.MethodGet)
-	r.Handle("/objects", p.faulty(p.listObjects)).Methods(http.MethodGet)
-	r.Handle("/objects/{key:.+}", p.faulty(p.getObject)).Methods(http.MethodGet)
-	r.Handle("/objects/{key:.+}", p.faulty(p.putObject)).Methods(http.MethodPut)
+	r.Handle("/machines", p.withFault(p.listMachines)).Methods(http.MethodGet)
+	r.Handle("/objects", p.withFault(p.listObjects)).Methods(http.MethodGet)
+	r.Handle("/objects/{key:.+}", p.withFault(p.getObject)).Methods(http.MethodGet)
+	r.Handle("/objects/{key:.+}", p.withFault(p.putObject)).Methods(http.MethodPut)
 	return r
 }
 
-func (p *Platform) faulty(next http.HandlerFunc) http.Handler {
+// withFault counts requests to next and applies the rate limit and the Delay
+// and Down faults to them.
+func (p *Platform) withFault(next http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		f, allowed := p.count(r)
+		f, allowed := p.countRequest(r)
 		if !allowed {
 			http.Error(w, "too many calls", http.StatusTooManyRequests)
 			return
@@ -158,9 +169,9 @@
 	})
 }
 
-// count counts a call, and returns the present fault and whether the rate allows
-// the call.
-func (p *Platform) count(r *http.Request) (Fault, bool) {
+// countRequest counts a request. It returns the current fault and whether the
+// rate limit admits the request.
+func (p *Platform) countRequest(r *http.Request) (Fault, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
@@ -192,28 +203,28 @@
 	query := r.URL.Query()
 	if text := query.Get("version"); text != "" {
 		version, _ := strconv.ParseInt(text, 10, 64)
-		p.answer(w, key, version)
+		p.writeObject(w, key, version)
 		return
 	}
 	if text := query.Get("after"); text != "" {
 		after, _ := strconv.ParseInt(text, 10, 64)
 		wait, _ := time.ParseDuration(query.Get("wait"))
-		if !p.wait(r, key, after, min(wait, maxWait)) {
+		if !p.waitForChange(r, key, after, min(wait, maxWait)) {
 			w.WriteHeader(http.StatusNotModified)
 			return
 		}
 	}
-	p.answer(w, key, 0)
+	p.writeObject(w, key, 0)
 }
 
-// wait blocks until the object is newer than after, or returns false when the
-// wait ends.
-func (p *Platform) wait(r *http.Request, key string, after int64, wait time.Duration) bool {
+// waitForChange blocks until the object is newer than the version after. It
+// returns false if the wait time expires or the request is canceled first.
+func (p *Platform) waitForChange(r *http.Request, key string, after int64, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		p.mu.Lock()
-		o := p.objectOf(key)
+		o := p.getOrCreateObject(key)
 		newer := int64(len(o.versions)) > after && !p.fault.HoldWatches
 		changed := o.changed
 		p.mu.Unlock()
@@ -230,8 +241,9 @@
 	}
 }
 
-// objectOf returns the entry of a key, made if needed. The caller holds mu.
-func (p *Platform) objectOf(key string) *object {
+// getOrCreateObject returns the object of a key, creating one without versions
+// if needed. The caller holds mu.
+func (p *Platform) getOrCreateObject(key string) *object {
 	o := p.objects[key]
 	if o == nil {
 		o = &object{changed: make(chan struct{})}
@@ -240,9 +252,10 @@
 	return o
 }
 
-func (p *Platform) answer(w http.ResponseWriter, key string, version int64) {
+// writeObject responds with a version of an object; version 0 is the newest.
+func (p *Platform) writeObject(w http.ResponseWriter, key string, version int64) {
 	p.mu.Lock()
-	o := p.objectOf(key)
+	o := p.getOrCreateObject(key)
 	if version == 0 {
 		version = int64(len(o.versions))
 	}
@@ -263,7 +276,7 @@
 		http.Error(w, "value too large", http.StatusRequestEntityTooLarge)
 		return
 	}
-	version, ok := p.Put(mux.Vars(r)["key"], value, condition(r.Header))
+	version, ok := p.Put(mux.Vars(r)["key"], value, expectedVersion(r.Header))
 	p.mu.Lock()
 	lose := p.fault.LoseAnswers
 	p.mu.Unlock()
@@ -277,8 +290,10 @@
 	w.Header().Set("ETag", strconv.Quote(strconv.FormatInt(version, 10)))
 }
 
-// condition returns the version that a write demands, or -1 for none.
-func condition(h http.Header) int64 {
+// expectedVersion returns the current version that a conditional write
+// requires, 0 if the object must not exist, or -1 if the write is
+// unconditional.
+func expectedVersion(h http.Header) int64 {
 	if h.Get("If-None-Match") == "*" {
 		return 0
 	}
@@ -293,11 +308,13 @@
 	return version
 }
 
-// Put writes a value if the newest version is the given one; -1 means any.
+// Put writes a value if the current version is the given one; -1 writes
+// unconditionally. It returns the new version and whether the value was
+// written.
 func (p *Platform) Put(key string, value []byte, version int64) (int64, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	o := p.objectOf(key)
+	o := p.getOrCreateObject(key)
 	if version >= 0 && version != int64(len(o.versions)) {
 		return 0, false
 	}
@@ -335,39 +352,42 @@
 	p.RemoveMachine(time.Now(), mux.Vars(r)["name"])
 }
 
-// SetMachine adds or changes a VM; the list shows it after the lag.
+// SetMachine adds or updates a VM. The list shows the change after Lag.
 func (p *Platform) SetMachine(now time.Time, m mustardsaddle.Machine) {
-	p.change(now, m.Name, &m)
+	p.scheduleChange(now, m.Name, &m)
 }
 
-// RemoveMachine removes a VM; the list drops it after the lag.
+// RemoveMachine removes a VM. The list drops it after Lag.
 func (p *Platform) RemoveMachine(now time.Time, name string) {
-	p.change(now, name, nil)
+	p.scheduleChange(now, name, nil)
 }
 
-func (p *Platform) change(now time.Time, name string, next *mustardsaddle.Machine) {
+// scheduleChange makes next the listed state of a VM once Lag has passed.
+func (p *Platform) scheduleChange(now time.Time, name string, next *mustardsaddle.Machine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.machines[name] = machine{shown: p.machines[name].at(now), next: next, shownAt: now.Add(p.cfg.Lag)}
+	p.machines[name] = machineEntry{visible: p.machines[name].stateAt(now), pending: next, pendingAt: now.Add(p.cfg.Lag)}
 }
 
-// at returns what the list shows of the VM at the given time.
-func (m machine) at(now time.Time) *mustardsaddle.Machine {
-	if now.Before(m.shownAt) {
-		return m.shown
+// stateAt returns the state of the VM that the list shows at the given time, or
+// nil if the VM is not listed.
+func (m machineEntry) stateAt(now time.Time) *mustardsaddle.Machine {
+	if now.Before(m.pendingAt) {
+		return m.visible
 	}
-	return m.next
+	return m.pending
 }
 
-// listMachines answers with the VMs of one service, or with the gateway VMs.
+// listMachines responds with the VMs of a service, or with the gateway VMs if
+// the service is empty.
 func (p *Platform) listMachines(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	service := r.URL.Query().Get("service")
 	machines := []mustardsaddle.Machine{}
 	p.mu.Lock()
 	for _, m := range p.machines {
-		if shown := m.at(now); shown != nil && shown.Service == service {
-			machines = append(machines, *shown)
+		if state := m.stateAt(now); state != nil && state.Service == service {
+			machines = append(machines, *state)
 		}
 	}
 	p.mu.Unlock()
