--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -1,10 +1,11 @@
-// Package load drives a system with calls that arrive at their own times,
-// whatever the answers do, and measures how long they take.
+// Package load is an open-loop load generator: calls arrive at scheduled times,
+// independently of the responses, and their latencies are measured.
 //
-// Arrivals are Poisson and seeded; each call's latency counts from its intended
-// time, so that a system that stalls is charged for the calls that had to wait
-// (no coordinated omission). Each call also states its working time, drawn from
-// the seed, so that two runs with one seed bring the same work.
+// Arrivals are a Poisson process drawn from a seed. The latency of a call
+// counts from its scheduled time, so that a stall of the system is charged to
+// the calls that had to wait (no coordinated omission). Each call also states
+// its working time, drawn from the same seed, so that runs with equal seeds
+// generate equal work.
 //
 // # Usage
 //
@@ -31,42 +32,43 @@
 )
 
 const (
-	// outcomeHeader is the gateway's word on what became of a call.
+	// outcomeHeader is the response header in which the gateway states the
+	// outcome.
 	outcomeHeader = "Mustardsaddle-Outcome"
-	// defaultTimeout bounds a call.
+	// defaultTimeout is the default of Config.Timeout.
 	defaultTimeout = 5 * time.Second
-	// defaultInFlight bounds the calls in flight; more are counted as dropped.
+	// defaultInFlight is the default of Config.InFlight.
 	defaultInFlight = 4000
-	// maxBody is how much of an answer is read.
-	maxBody = 1 << 30
+	// maxBodyBytes is the maximum number of bytes read from a response body.
+	maxBodyBytes = 1 << 30
 )
 
-// Stream is one kind of call.
+// Stream is a kind of call.
 type Stream struct {
-	// Service names the stream in the report.
+	// Service names the stream in the result.
 	Service string
-	// Method is the method; empty for GET.
+	// Method is the HTTP method; empty for GET.
 	Method string
-	// Path is the path that is called.
+	// Path is the URL path.
 	Path string
-	// Share is the stream's share of the calls, relative to the others.
+	// Share is the weight of the stream, relative to the others.
 	Share float64
 }
 
-// Phase changes the rate from a time on.
+// Phase changes the call rate from a given time on.
 type Phase struct {
-	// At is the time since the start.
+	// At is the time since the start of the run.
 	At time.Duration
-	// Factor multiplies the rate.
+	// Factor multiplies Config.Rate.
 	Factor float64
 }
 
 // Config configures a run.
 type Config struct {
-	// Targets are the base URLs of the gateways; calls are spread at random.
+	// Targets are the base URLs of the gateways. Each call goes to a random one.
 	Targets []string
-	// Live, if set, tells whether a target takes calls. A call whose target does
-	// not goes to the next that does.
+	// Live, if set, reports whether a target accepts calls. A call to a target
+	// that does not is sent to the next one that does.
 	Live func(target string) bool
 	// Streams are the kinds of calls.
 	Streams []Stream
@@ -74,24 +76,25 @@
 	Rate float64
 	// Phases change the rate, in order of time.
 	Phases []Phase
-	// Warmup is the time at the start whose calls are not recorded.
+	// Warmup is the initial time whose calls are not recorded.
 	Warmup time.Duration
-	// Duration is the whole time during which calls arrive.
+	// Duration is the total time during which calls arrive, including Warmup.
 	Duration time.Duration
-	// Work is the mean working time that a call states: half of it fixed, half
-	// exponential. 0 states none.
+	// Work is the mean working time that calls state: one half fixed, the other
+	// exponentially distributed. If it is 0, calls state none.
 	Work time.Duration
-	// Delay is the one-way delay between callers and gateways.
+	// Delay is the simulated one-way latency between callers and gateways.
 	Delay time.Duration
-	// Timeout bounds a call.
+	// Timeout bounds each call, from its scheduled time.
 	Timeout time.Duration
-	// InFlight bounds the calls in flight.
+	// InFlight is the maximum number of calls in flight; more are counted as
+	// Dropped.
 	InFlight int
-	// Seed seeds arrivals, targets and working times.
+	// Seed seeds the arrivals, streams, targets and working times.
 	Seed uint64
 }
 
-// withDefaults returns c with the defaults in place of zero values.
+// withDefaults returns c with zero values replaced by defaults.
 func (c Config) withDefaults() Config {
 	if c.Timeout <= 0 {
 		c.Timeout = defaultTimeout
@@ -102,7 +105,7 @@
 	return c
 }
 
-// check refuses a configuration that cannot run.
+// check returns an error if the configuration is invalid.
 func (c Config) check() error {
 	switch {
 	case len(c.Targets) == 0:
@@ -117,28 +120,28 @@
 	return nil
 }
 
-// Run makes the calls and waits for their ends. The run takes at most Duration
-// and Timeout.
+// Run generates the calls and waits until all have ended. It takes at most
+// Duration plus Timeout and Delay.
 func Run(ctx context.Context, cfg Config) (Result, error) {
 	cfg = cfg.withDefaults()
 	if err := cfg.check(); err != nil {
 		return Result{}, err
 	}
 	d := &driver{
-		cfg:    cfg,
-		client: newClient(cfg),
-		slots:  make(chan struct{}, cfg.InFlight),
-		record: newRecord(cfg.Streams),
+		cfg:      cfg,
+		client:   newClient(cfg),
+		inFlight: make(chan struct{}, cfg.InFlight),
+		recorder: newRecorder(cfg.Streams),
 	}
 	defer d.client.CloseIdleConnections()
-	begin := time.Now()
-	d.arrive(ctx, begin)
-	d.wait()
-	return d.record.result(cfg.Duration - cfg.Warmup), nil
+	start := time.Now()
+	d.startCalls(ctx, start)
+	d.waitForCalls()
+	return d.recorder.result(cfg.Duration - cfg.Warmup), nil
 }
 
-// newClient returns a client that never follows a redirection and keeps enough
-// connections for all calls in flight.
+// newClient returns a client that does not follow redirects and keeps an idle
+// connection for each call in flight.
 func newClient(cfg Config) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
@@ -150,26 +153,30 @@
 	}
 }
 
+// driver generates the calls of one run.
 type driver struct {
 	cfg    Config
 	client *http.Client
-	// slots holds one token for each call in flight, which takes it out again
-	// at its end.
-	slots  chan struct{}
-	record *record
+	// inFlight is a semaphore that holds one token for each call in flight.
+	inFlight chan struct{}
+	recorder *recorder
 }
 
-// call is one planned call.
+// call is one scheduled call.
 type call struct {
+	// stream is the index of the call's stream.
 	stream int
 	target string
-	work   time.Duration
-	at     time.Time
-	record bool
+	// work is the working time that the call states.
+	work time.Duration
+	// intendedAt is the scheduled time of the call.
+	intendedAt time.Time
+	// recorded is false for calls of the warmup.
+	recorded bool
 }
 
-// arrive starts each call at its time.
-func (d *driver) arrive(ctx context.Context, begin time.Time) {
+// startCalls starts each call at its scheduled time.
+func (d *driver) startCalls(ctx context.Context, start time.Time) {
 	rng := rand.New(rand.NewPCG(d.cfg.Seed, 3))
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -179,8 +186,8 @@
 		if at >= d.cfg.Duration {
 			return
 		}
-		c := d.plan(rng, begin, at)
-		if wait := time.Until(c.at); wait > 0 {
+		c := d.drawCall(rng, start, at)
+		if wait := time.Until(c.intendedAt); wait > 0 {
 			timer.Reset(wait)
 			select {
 			case <-ctx.Done():
@@ -188,11 +195,11 @@
 			case <-timer.C:
 			}
 		}
-		d.start(ctx, c)
+		d.startCall(ctx, c)
 	}
 }
 
-// rate returns the calls per second at a time since the start.
+// rate returns the call rate, in calls per second, at a time since the start.
 func (d *driver) rate(at time.Duration) float64 {
 	factor := 1.0
 	for _, p := range d.cfg.Phases {
@@ -203,19 +210,19 @@
 	return d.cfg.Rate * max(factor, 0.001)
 }
 
-// plan draws everything about a call from the seed.
-func (d *driver) plan(rng *rand.Rand, begin time.Time, at time.Duration) call {
+// drawCall draws the stream, target and working time of a call.
+func (d *driver) drawCall(rng *rand.Rand, start time.Time, at time.Duration) call {
 	half := float64(d.cfg.Work) / 2
 	return call{
-		stream: d.drawStream(rng),
-		target: d.cfg.Targets[rng.IntN(len(d.cfg.Targets))],
-		work:   time.Duration(half + half*rng.ExpFloat64()),
-		at:     begin.Add(at),
-		record: at >= d.cfg.Warmup,
+		stream:     d.drawStream(rng),
+		target:     d.cfg.Targets[rng.IntN(len(d.cfg.Targets))],
+		work:       time.Duration(half + half*rng.ExpFloat64()),
+		intendedAt: start.Add(at),
+		recorded:   at >= d.cfg.Warmup,
 	}
 }
 
-// drawStream picks a stream by the shares.
+// drawStream draws a stream, weighted by the shares.
 func (d *driver) drawStream(rng *rand.Rand) int {
 	total := 0.0
 	for _, s := range d.cfg.Streams {
@@ -231,35 +238,37 @@
 	return len(d.cfg.Streams) - 1
 }
 
-// start makes a call on its own goroutine, unless too many are in flight.
-func (d *driver) start(ctx context.Context, c call) {
+// startCall runs a call on a new goroutine, or drops it if too many are in
+// flight.
+func (d *driver) startCall(ctx context.Context, c call) {
 	select {
-	case d.slots <- struct{}{}:
+	case d.inFlight <- struct{}{}:
 	default:
-		d.record.add(c, Dropped, 0)
+		d.recorder.add(c, Dropped, 0)
 		return
 	}
 	go func() {
-		defer func() { <-d.slots }()
-		ctx, cancel := context.WithDeadline(ctx, c.at.Add(d.cfg.Timeout))
+		defer func() { <-d.inFlight }()
+		ctx, cancel := context.WithDeadline(ctx, c.intendedAt.Add(d.cfg.Timeout))
 		defer cancel()
-		end := d.do(ctx, c)
-		d.record.add(c, end, time.Since(c.at))
+		end := d.doCall(ctx, c)
+		d.recorder.add(c, end, time.Since(c.intendedAt))
 	}()
 }
 
-// wait returns when no call is in flight: once it holds every token itself.
-func (d *driver) wait() {
-	for range cap(d.slots) {
-		d.slots <- struct{}{}
+// waitForCalls waits until no call is in flight, by acquiring all tokens of the
+// semaphore.
+func (d *driver) waitForCalls() {
+	for range cap(d.inFlight) {
+		d.inFlight <- struct{}{}
 	}
 }
 
-// do makes a call and classifies its end.
-func (d *driver) do(ctx context.Context, c call) End {
+// doCall sends a request and classifies the result.
+func (d *driver) doCall(ctx context.Context, c call) End {
 	time.Sleep(d.cfg.Delay)
 	s := d.cfg.Streams[c.stream]
-	url := strings.TrimSuffix(d.target(c.target), "/") + s.Path
+	url := strings.TrimSuffix(d.liveTarget(c.target), "/") + s.Path
 	if c.work > 0 {
 		url += "?Work=" + c.work.String()
 	}
@@ -272,15 +281,16 @@
 		return Broken
 	}
 	defer func() { _ = resp.Body.Close() }()
-	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodyBytes)); err != nil {
 		return Broken
 	}
 	time.Sleep(d.cfg.Delay)
-	return endOf(resp)
+	return classify(resp)
 }
 
-// target returns the planned target if it takes calls, or else the next.
-func (d *driver) target(planned string) string {
+// liveTarget returns the planned target if it accepts calls, else the next one
+// that does. If none does, it returns the planned target.
+func (d *driver) liveTarget(planned string) string {
 	if d.cfg.Live == nil {
 		return planned
 	}
@@ -293,8 +303,8 @@
 	return planned
 }
 
-// endOf classifies an answer.
-func endOf(resp *http.Response) End {
+// classify returns the end of a call that got a complete response.
+func classify(resp *http.Response) End {
 	switch {
 	case resp.StatusCode < http.StatusBadRequest:
 		return Ran
--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -27,15 +27,16 @@
 	}
 }
 
-// recorder answers each call and keeps what was asked.
-type recorder struct {
+// requestLog is a handler that records request URLs. It refuses requests to
+// /Library as not run.
+type requestLog struct {
 	mu   sync.Mutex
-	seen []string
+	urls []string
 }
 
-func (h *recorder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *requestLog) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.mu.Lock()
-	h.seen = append(h.seen, r.URL.String())
+	h.urls = append(h.urls, r.URL.String())
 	h.mu.Unlock()
 	if r.URL.Path == "/Library" {
 		w.Header().Set("Mustardsaddle-Outcome", "NotRun")
@@ -44,26 +45,26 @@
 }
 
 func TestRun(t *testing.T) {
-	convey.Convey("Given a system that refuses one of two services", t, func() {
-		var asked [2][]string
-		for i := range asked {
-			h := &recorder{}
+	convey.Convey("Given a system that refuses calls to one of two services", t, func() {
+		var urls [2][]string
+		for i := range urls {
+			h := &requestLog{}
 			s := httptest.NewServer(h)
 			result, err := load.Run(context.Background(), config(s.URL))
 			s.Close()
 			convey.So(err, convey.ShouldBeNil)
-			convey.So(result.All.Calls, convey.ShouldEqual, len(h.seen))
+			convey.So(result.All.Calls, convey.ShouldEqual, len(h.urls))
 			convey.So(result.Streams[0].Share(load.Ran), convey.ShouldEqual, 1)
 			convey.So(result.Streams[1].Share(load.NotRun), convey.ShouldEqual, 1)
 			convey.So(result.Text(), convey.ShouldContainSubstring, "Library")
-			slices.Sort(h.seen)
-			asked[i] = h.seen
+			slices.Sort(h.urls)
+			urls[i] = h.urls
 		}
-		convey.Convey("two runs with one seed bring the same work", func() {
-			convey.So(asked[0], convey.ShouldResemble, asked[1])
+		convey.Convey("runs with equal seeds send the same requests", func() {
+			convey.So(urls[0], convey.ShouldResemble, urls[1])
 		})
 	})
-	convey.Convey("Given a system that stalls, calls are charged from their intended time", t, func() {
+	convey.Convey("Given a system that stalls, latencies count from the scheduled time", t, func() {
 		release := make(chan struct{})
 		s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
 		defer s.Close()
@@ -76,8 +77,8 @@
 }
 
 func TestRunPassesOverTargetsThatAreNotLive(t *testing.T) {
-	convey.Convey("Given two targets of which one takes no calls", t, func() {
-		var live, dead recorder
+	convey.Convey("Given two targets, one of which is not live", t, func() {
+		var live, dead requestLog
 		a, b := httptest.NewServer(&live), httptest.NewServer(&dead)
 		defer a.Close()
 		defer b.Close()
@@ -86,8 +87,8 @@
 		cfg.Live = func(target string) bool { return target == a.URL }
 		result, err := load.Run(context.Background(), cfg)
 		convey.So(err, convey.ShouldBeNil)
-		convey.So(result.All.Calls, convey.ShouldEqual, len(live.seen))
-		convey.So(dead.seen, convey.ShouldBeEmpty)
+		convey.So(result.All.Calls, convey.ShouldEqual, len(live.urls))
+		convey.So(dead.urls, convey.ShouldBeEmpty)
 	})
 }
 
--- a/internal/standin/load/result.go
+++ b/internal/standin/load/result.go
@@ -11,52 +11,55 @@
 
 //go:generate go tool -modfile=../../../tools/go.mod stringer -type=End -output=end_string.go
 
-// End says how a call ended for its caller.
+// End is how a call ended for its caller.
 type End int
 
 const (
-	// Ran is a whole answer below status 400.
+	// Ran is a complete response with a status below 400.
 	Ran End = iota
-	// Failed is a whole answer of a server with status 400 or above.
+	// Failed is a complete response with a status of 400 or above that states
+	// neither NotRun nor Unknown.
 	Failed
-	// NotRun is a refusal that says that the call did not run.
+	// NotRun is an error response which states that the request did not run.
 	NotRun
-	// Unknown is an answer that says that the call may have run.
+	// Unknown is an error response which states that the request may have run.
 	Unknown
-	// Broken is a call without a whole answer.
+	// Broken is a call without a complete response.
 	Broken
-	// Dropped is a call that was not made, since too many were in flight.
+	// Dropped is a call that was not sent because too many were in flight.
 	Dropped
 
-	ends = int(Dropped) + 1
+	endCount = int(Dropped) + 1
 )
 
 const (
-	// maxLatency is the longest latency that is told apart.
+	// maxLatency is the upper bound of recorded latencies; longer ones count as
+	// maxLatency.
 	maxLatency = 60 * time.Second
-	// figures is the number of significant figures of latencies.
-	figures = 3
+	// significantFigures is the precision of the latency histograms.
+	significantFigures = 3
 )
 
-// Stats are the figures of one stream, or of all.
+// Stats are the statistics of one stream, or of all streams.
 type Stats struct {
 	// Service names the stream.
 	Service string
-	// Calls is the number of calls, Ends how they ended.
+	// Calls is the number of calls, and Ends the number by End.
 	Calls int64
 	Ends  map[string]int64
-	// Goodput is the number of calls per second that ran.
+	// Goodput is the number of calls per second that ended as Ran.
 	Goodput float64
-	// P50, P90, P99, P999 and Max are latencies of the calls that ran, from the
-	// intended time, in milliseconds.
+	// P50, P90, P99, P999 and Max are latency percentiles in milliseconds of the
+	// calls that ended as Ran, counted from their scheduled times.
 	P50, P90, P99, P999, Max float64
-	// Within99 is the time in milliseconds within which 99 of 100 of all calls
-	// had run, whatever became of the others; 0 if fewer ran at all. Refusals
-	// don't flatter it.
+	// Within99 is the 99th percentile in milliseconds over all calls, where
+	// calls that did not end as Ran count as infinitely slow, so that fast
+	// refusals do not improve it. It is 0 if fewer than 99% of the calls ended
+	// as Ran.
 	Within99 float64
 }
 
-// Share returns the share of calls with the given end.
+// Share returns the fraction of calls with the given end.
 func (s Stats) Share(end End) float64 {
 	if s.Calls == 0 {
 		return 0
@@ -64,13 +67,13 @@
 	return float64(s.Ends[end.String()]) / float64(s.Calls)
 }
 
-// Result is what a run measured.
+// Result holds the measurements of a run.
 type Result struct {
-	// Seconds is the recorded time.
+	// Seconds is the recorded time, which excludes the warmup.
 	Seconds float64
-	// All are the figures over all streams.
+	// All are the statistics over all streams.
 	All Stats
-	// Streams are the figures by stream.
+	// Streams are the statistics by stream.
 	Streams []Stats
 }
 
@@ -89,83 +92,85 @@
 	return b.String()
 }
 
-// tally counts the calls of one stream.
+// tally accumulates the statistics of one stream.
 type tally struct {
-	ends    [ends]int64
+	counts [endCount]int64
+	// latency holds the latencies of the calls that ended as Ran.
 	latency *hdrhistogram.Histogram
-	// all counts calls that did not run as maxLatency.
-	all *hdrhistogram.Histogram
+	// allCalls holds all calls; those that did not end as Ran count as
+	// maxLatency.
+	allCalls *hdrhistogram.Histogram
 }
 
 func newTally() *tally {
 	return &tally{
-		latency: hdrhistogram.New(1, maxLatency.Microseconds(), figures),
-		all:     hdrhistogram.New(1, maxLatency.Microseconds(), figures),
+		latency:  hdrhistogram.New(1, maxLatency.Microseconds(), significantFigures),
+		allCalls: hdrhistogram.New(1, maxLatency.Microseconds(), significantFigures),
 	}
 }
 
 func (t *tally) add(end End, latency time.Duration) {
-	t.ends[end]++
+	t.counts[end]++
 	latency = min(latency, maxLatency)
 	if end != Ran {
-		_ = t.all.RecordValue(maxLatency.Microseconds())
+		_ = t.allCalls.RecordValue(maxLatency.Microseconds())
 		return
 	}
 	_ = t.latency.RecordValue(latency.Microseconds())
-	_ = t.all.RecordValue(latency.Microseconds())
+	_ = t.allCalls.RecordValue(latency.Microseconds())
 }
 
 func (t *tally) stats(service string, seconds float64) Stats {
-	s := Stats{Service: service, Ends: make(map[string]int64, ends)}
-	for end, n := range t.ends {
+	s := Stats{Service: service, Ends: make(map[string]int64, endCount)}
+	for end, n := range t.counts {
 		s.Calls += n
 		s.Ends[End(end).String()] = n
 	}
-	at := func(quantile float64) float64 {
+	percentile := func(quantile float64) float64 {
 		return float64(t.latency.ValueAtQuantile(quantile)) / 1000
 	}
-	s.P50, s.P90, s.P99, s.P999, s.Max = at(50), at(90), at(99), at(99.9), at(100)
-	if 100*t.ends[Ran] >= 99*s.Calls {
-		s.Within99 = float64(t.all.ValueAtQuantile(99)) / 1000
+	s.P50, s.P90, s.P99, s.P999, s.Max = percentile(50), percentile(90), percentile(99), percentile(99.9), percentile(100)
+	if 100*t.counts[Ran] >= 99*s.Calls {
+		s.Within99 = float64(t.allCalls.ValueAtQuantile(99)) / 1000
 	}
-	s.Goodput = float64(t.ends[Ran]) / seconds
+	s.Goodput = float64(t.counts[Ran]) / seconds
 	return s
 }
 
-// record collects the calls of a run. It is safe for concurrent use.
-type record struct {
-	names []string
+// recorder accumulates the statistics of a run. It is safe for concurrent use.
+type recorder struct {
+	services []string
 
 	mu      sync.Mutex
-	all     *tally
+	total   *tally
 	streams []*tally
 }
 
-func newRecord(streams []Stream) *record {
-	r := &record{all: newTally()}
+func newRecorder(streams []Stream) *recorder {
+	r := &recorder{total: newTally()}
 	for _, s := range streams {
-		r.names = append(r.names, s.Service)
+		r.services = append(r.services, s.Service)
 		r.streams = append(r.streams, newTally())
 	}
 	return r
 }
 
-func (r *record) add(c call, end End, latency time.Duration) {
-	if !c.record {
+func (r *recorder) add(c call, end End, latency time.Duration) {
+	if !c.recorded {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.all.add(end, latency)
+	r.total.add(end, latency)
 	r.streams[c.stream].add(end, latency)
 }
 
-func (r *record) result(d time.Duration) Result {
+func (r *recorder) result(d time.Duration) Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := Result{Seconds: d.Seconds(), All: r.all.stats("All", d.Seconds())}
+	out := Result{Seconds: d.Seconds(), All: r.total.stats("All", d.Seconds())}
 	for i, t := range r.streams {
-		out.Streams = append(out.Streams, t.stats(r.names[i], d.Seconds()))
+		out.Streams = append(out.Streams, t.stats(r.services[i], d.Seconds()))
 	}
 	return out
 }
