--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs small stand-ins for the outside systems that the load
-// balancer talks to. It is for tests and trials only; its commands are in
+// Command standin runs test doubles of the systems around the load balancer,
+// for tests and benchmarks only. Its subcommands are implemented in
 // internal/standin/command.
 package main
 
