--- a/cmd/mustardsaddle/fault_test.go
+++ b/cmd/mustardsaddle/fault_test.go
@@ -15,60 +15,61 @@
 func TestGatewayKilled(t *testing.T) {
 	convey.Convey("Given three gateways under load, one of which is killed", t, func() {
 		s := newSystem(t, 3, 3)
-		f := newTraffic(12, targets(s.gateways[1:]...))
-		defer f.stop()
+		tr := newTraffic(12, targets(s.gateways[1:]...))
+		defer tr.stop()
 		s.gateways[0].signal(syscall.SIGKILL)
-		convey.Convey("Calls through the others go on whole, and a rule change takes force", func() {
-			s.submit(strings.Replace(rules, "Path=/rosters", "Path=/calendars Service=Booking # Mei Lin: calendars\nPath=/rosters", 1))
+		convey.Convey("Calls through the others succeed, and a rule change takes effect", func() {
+			s.submitRules(strings.Replace(rules, "Path=/rosters", "Path=/calendars Service=Booking # Mei Lin: calendars\nPath=/rosters", 1))
 			for _, g := range s.gateways[1:] {
-				took := s.wait("the change", func() bool { return get(g.url + "/calendars").ok() })
-				convey.So(took, convey.ShouldBeLessThan, promise)
+				took := s.waitFor("the rule change", func() bool { return get(g.url + "/calendars").ok() })
+				convey.So(took, convey.ShouldBeLessThan, propagationLimit)
 			}
-			after := f.calls.Load()
-			s.wait("calls", func() bool { return f.calls.Load() > after+300 })
-			f.stop()
-			convey.So(f.failures(), convey.ShouldBeEmpty)
+			after := tr.calls.Load()
+			s.waitFor("calls", func() bool { return tr.calls.Load() > after+300 })
+			tr.stop()
+			convey.So(tr.failures(), convey.ShouldBeEmpty)
 		})
 	})
 }
 
-// Callers of a server that is killed are told the truth: Unknown for calls that
-// were there and must not be repeated, NotRun for calls that reached no server.
+// Calls that are in flight at a killed server and must not be repeated are
+// reported as Unknown; calls that reached no server are reported as NotRun.
 func TestServerKilled(t *testing.T) {
 	convey.Convey("Given four servers under load, one of which is killed", t, func() {
 		const callers = 12
 		s := newSystem(t, 4, 2)
-		f := newTraffic(callers, targets(s.gateways...))
-		defer f.stop()
-		s.wait("calls", func() bool { return f.calls.Load() > 300 })
+		tr := newTraffic(callers, targets(s.gateways...))
+		defer tr.stop()
+		s.waitFor("calls", func() bool { return tr.calls.Load() > 300 })
 		s.servers[0].signal(syscall.SIGKILL)
-		after := f.calls.Load()
-		s.wait("calls", func() bool { return f.calls.Load() > after+1000 })
-		f.stop()
+		after := tr.calls.Load()
+		s.waitFor("calls", func() bool { return tr.calls.Load() > after+1000 })
+		tr.stop()
 		unknown := 0
-		for _, b := range f.failures() {
-			if strings.Contains(b, "Mustardsaddle-Outcome:[Unknown]") {
+		for _, failure := range tr.failures() {
+			if strings.Contains(failure, "Mustardsaddle-Outcome:[Unknown]") {
 				unknown++
 				continue
 			}
-			convey.So(b, convey.ShouldContainSubstring, "Mustardsaddle-Outcome:[NotRun]")
-			convey.So(b, convey.ShouldContainSubstring, "Retry-After")
+			convey.So(failure, convey.ShouldContainSubstring, "Mustardsaddle-Outcome:[NotRun]")
+			convey.So(failure, convey.ShouldContainSubstring, "Retry-After")
 		}
-		t.Logf("%d calls after the kill: %d Unknown, %d NotRun", f.calls.Load()-after, unknown, len(f.failures())-unknown)
+		t.Logf("%d calls after the kill: %d Unknown, %d NotRun", tr.calls.Load()-after, unknown, len(tr.failures())-unknown)
 		convey.So(unknown, convey.ShouldBeLessThanOrEqualTo, callers)
 	})
 }
 
-// generations polls the generations of gateways, and notes one that falls.
-type generations struct {
-	stop  chan struct{}
-	group sync.WaitGroup
-	mu    sync.Mutex
-	fell  []string
+// generationWatcher polls the rules generations of gateways and records the
+// gateways whose generation decreased.
+type generationWatcher struct {
+	done      chan struct{}
+	group     sync.WaitGroup
+	mu        sync.Mutex
+	regressed []string
 }
 
-func watchGenerations(gateways []*instance) *generations {
-	w := &generations{stop: make(chan struct{})}
+func watchGenerations(gateways []*gateway) *generationWatcher {
+	w := &generationWatcher{done: make(chan struct{})}
 	for _, g := range gateways {
 		w.group.Add(1)
 		go func() {
@@ -76,17 +77,17 @@
 			last := int64(0)
 			for {
 				select {
-				case <-w.stop:
+				case <-w.done:
 					return
 				case <-time.After(20 * time.Millisecond):
 				}
-				n := g.generation()
+				n := g.generationInForce()
 				if n < 0 {
 					continue
 				}
 				if n < last {
 					w.mu.Lock()
-					w.fell = append(w.fell, g.name)
+					w.regressed = append(w.regressed, g.name)
 					w.mu.Unlock()
 				}
 				last = n
@@ -96,63 +97,65 @@
 	return w
 }
 
-func (w *generations) end() []string {
-	close(w.stop)
+// stop ends the polling and returns the names of the gateways whose generation
+// decreased.
+func (w *generationWatcher) stop() []string {
+	close(w.done)
 	w.group.Wait()
-	return w.fell
+	return w.regressed
 }
 
 func TestGatewayFrozen(t *testing.T) {
-	convey.Convey("Given a gateway that is frozen while the rules change twice", t, func() {
+	convey.Convey("Given a gateway that is suspended while the rules change twice", t, func() {
 		s := newSystem(t, 2, 3)
 		w := watchGenerations(s.gateways[:2])
-		frozen := s.gateways[2]
-		frozen.signal(syscall.SIGSTOP)
+		suspended := s.gateways[2]
+		suspended.signal(syscall.SIGSTOP)
 		text := rules
 		var newest int64
 		for _, path := range []string{"/one", "/two"} {
 			text = "Path=" + path + " Service=Booking # Mei Lin: added\n" + strings.TrimPrefix(text, "# Generation 0\n")
-			s.submit("# Generation 0\n" + text)
+			s.submitRules("# Generation 0\n" + text)
 			for _, g := range s.gateways[:2] {
-				took := s.wait("the change", func() bool { return get(g.url + path).ok() })
-				convey.So(took, convey.ShouldBeLessThan, promise)
-				newest = max(newest, g.generation())
+				took := s.waitFor("the rule change", func() bool { return get(g.url + path).ok() })
+				convey.So(took, convey.ShouldBeLessThan, propagationLimit)
+				newest = max(newest, g.generationInForce())
 			}
 		}
-		convey.Convey("It takes the newest rules when it goes on, and nobody goes back", func() {
-			frozen.signal(syscall.SIGCONT)
-			took := s.wait("the newest rules", func() bool { return get(frozen.url + "/two").ok() })
-			convey.So(took, convey.ShouldBeLessThan, promise)
-			convey.So(frozen.generation(), convey.ShouldBeGreaterThanOrEqualTo, newest)
+		convey.Convey("It applies the newest rules when it resumes, and no gateway goes back to older ones", func() {
+			suspended.signal(syscall.SIGCONT)
+			took := s.waitFor("the newest rules", func() bool { return get(suspended.url + "/two").ok() })
+			convey.So(took, convey.ShouldBeLessThan, propagationLimit)
+			convey.So(suspended.generationInForce(), convey.ShouldBeGreaterThanOrEqualTo, newest)
 			for _, g := range s.gateways {
 				convey.So(get(g.url+"/one").ok(), convey.ShouldBeTrue)
 				convey.So(get(g.url+"/two").ok(), convey.ShouldBeTrue)
 			}
-			convey.So(w.end(), convey.ShouldBeEmpty)
+			convey.So(w.stop(), convey.ShouldBeEmpty)
 		})
 	})
 }
 
 func TestServerFrozen(t *testing.T) {
-	convey.Convey("Given four servers under load, one of which is frozen for two seconds", t, func() {
+	convey.Convey("Given four servers under load, one of which is suspended for two seconds", t, func() {
 		s := newSystem(t, 4, 2)
-		f := newTraffic(12, targets(s.gateways...))
-		defer f.stop()
-		s.wait("calls", func() bool { return f.calls.Load() > 300 })
+		tr := newTraffic(12, targets(s.gateways...))
+		defer tr.stop()
+		s.waitFor("calls", func() bool { return tr.calls.Load() > 300 })
 		s.servers[0].signal(syscall.SIGSTOP)
-		begin, n := time.Now(), f.calls.Load()
-		s.wait("two seconds", func() bool { return time.Since(begin) > 2*time.Second })
-		t.Logf("%d calls while the server was frozen", f.calls.Load()-n)
+		start, n := time.Now(), tr.calls.Load()
+		s.waitFor("two seconds", func() bool { return time.Since(start) > 2*time.Second })
+		t.Logf("%d calls while the server was suspended", tr.calls.Load()-n)
 		s.servers[0].signal(syscall.SIGCONT)
-		after := f.calls.Load()
-		s.wait("calls", func() bool { return f.calls.Load() > after+300 })
-		f.stop()
-		for _, b := range f.failures() {
-			convey.So(b, convey.ShouldContainSubstring, "Mustardsaddle-Outcome:[Unknown]")
+		after := tr.calls.Load()
+		s.waitFor("calls", func() bool { return tr.calls.Load() > after+300 })
+		tr.stop()
+		for _, failure := range tr.failures() {
+			convey.So(failure, convey.ShouldContainSubstring, "Mustardsaddle-Outcome:[Unknown]")
 		}
-		convey.So(len(f.failures()), convey.ShouldBeLessThanOrEqualTo, 12)
+		convey.So(len(tr.failures()), convey.ShouldBeLessThanOrEqualTo, 12)
 		for _, e := range s.servers {
-			for _, runs := range s.count(e).Runs {
+			for _, runs := range s.counts(e).Runs {
 				convey.So(runs, convey.ShouldEqual, 1)
 			}
 		}
@@ -162,19 +165,19 @@
 func TestPlatformDown(t *testing.T) {
 	convey.Convey("Given three gateways under load, and a platform that is down", t, func() {
 		s := newSystem(t, 2, 3)
-		f := newTraffic(6, targets(s.gateways[:2]...))
-		defer f.stop()
-		s.fault(platform.Fault{Down: true})
-		convey.Convey("Calls go on, and a gateway that starts anew learns all from its peers", func() {
+		tr := newTraffic(6, targets(s.gateways[:2]...))
+		defer tr.stop()
+		s.setPlatformFault(platform.Fault{Down: true})
+		convey.Convey("Calls succeed, and a restarted gateway gets its complete state from its peers", func() {
 			g := s.gateways[2]
 			g.signal(syscall.SIGKILL)
-			<-g.ended
+			<-g.exited
 			s.startGateway(g)
-			took := s.wait("the start", func() bool { return g.ready() && get(g.url+"/rosters").ok() })
-			t.Logf("ready from peers after %v", took)
-			f.stop()
-			convey.So(f.failures(), convey.ShouldBeEmpty)
-			convey.So(g.generation(), convey.ShouldEqual, s.gateways[0].generation())
+			took := s.waitFor("the restart", func() bool { return g.ready() && get(g.url+"/rosters").ok() })
+			t.Logf("ready with the state of its peers after %v", took)
+			tr.stop()
+			convey.So(tr.failures(), convey.ShouldBeEmpty)
+			convey.So(g.generationInForce(), convey.ShouldEqual, s.gateways[0].generationInForce())
 		})
 	})
 }
--- a/cmd/mustardsaddle/harness_test.go
+++ b/cmd/mustardsaddle/harness_test.go
@@ -28,21 +28,22 @@
 	"mustardsaddle.example/mustardsaddle/internal/standin/server"
 )
 
-// patience bounds waits for what must happen at some time.
-const patience = 30 * time.Second
+// waitTimeout bounds waits for expected events.
+const waitTimeout = 30 * time.Second
 
-// promise is the time within which a change is in force, and a leaving server
-// receives no new request.
-const promise = 5 * time.Second
+// propagationLimit is the guaranteed maximum time until a rule change takes
+// effect on all gateways, and until a server that leaves receives no new
+// requests.
+const propagationLimit = 5 * time.Second
 
-// listLag is how late the platform's list shows a change.
+// listLag is the delay before a change appears in the platform's list of VMs.
 const listLag = 300 * time.Millisecond
 
-// stopLag is how long a gateway that stops still accepts calls.
+// stopLag is how long a stopping gateway still accepts connections.
 const stopLag = time.Second
 
-// binaries is the directory of the programs, built once.
-var binaries string
+// binDir is the directory of the programs, which are built once for all tests.
+var binDir string
 
 func TestMain(m *testing.M) {
 	os.Exit(run(m))
@@ -58,25 +59,25 @@
 	build := exec.Command("go", "build", "-o", dir+"/", "./cmd/...")
 	build.Dir = "../.."
 	if out, err := build.CombinedOutput(); err != nil {
-		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
+		fmt.Fprintf(os.Stderr, "go build: %v\n%s", err, out)
 		return 1
 	}
-	binaries = dir
+	binDir = dir
 	return m.Run()
 }
 
-// process is a running program.
+// process is a child process whose output is captured.
 type process struct {
-	t     testing.TB
-	cmd   *exec.Cmd
-	ended chan struct{}
-	err   error
+	t       testing.TB
+	cmd     *exec.Cmd
+	exited  chan struct{}
+	exitErr error
 
 	mu  sync.Mutex
 	out bytes.Buffer
 }
 
-// Write takes the program's output.
+// Write captures output of the process.
 func (p *process) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,33 +90,35 @@
 	return p.out.String()
 }
 
-// start runs a program, which is killed when the test ends.
-func start(t testing.TB, name string, args ...string) *process {
+// startProcess runs a program and captures its standard output and error. The
+// process is killed when the test ends.
+func startProcess(t testing.TB, name string, args ...string) *process {
 	p := newProcess(t, name, args...)
 	p.cmd.Stdout = p
-	p.launch()
+	p.start()
 	return p
 }
 
-// newProcess returns a program that is not running yet, whose messages it keeps.
+// newProcess returns a process that is not started yet. Its standard error is
+// captured.
 func newProcess(t testing.TB, name string, args ...string) *process {
-	p := &process{t: t, cmd: exec.Command(filepath.Join(binaries, name), args...), ended: make(chan struct{})}
+	p := &process{t: t, cmd: exec.Command(filepath.Join(binDir, name), args...), exited: make(chan struct{})}
 	p.cmd.Stderr = p
 	return p
 }
 
-// launch runs the program, which is killed when the test ends.
-func (p *process) launch() {
+// start starts the process, which is killed when the test ends.
+func (p *process) start() {
 	if err := p.cmd.Start(); err != nil {
 		p.t.Fatal(err)
 	}
 	go func() {
-		p.err = p.cmd.Wait()
-		close(p.ended)
+		p.exitErr = p.cmd.Wait()
+		close(p.exited)
 	}()
 	p.t.Cleanup(func() {
 		_ = p.cmd.Process.Kill()
-		<-p.ended
+		<-p.exited
 	})
 }
 
@@ -125,19 +128,20 @@
 	}
 }
 
-// waitEnd waits for the end of the process and returns its error.
-func (p *process) waitEnd(d time.Duration) error {
+// waitExit waits until the process exits and returns the error of
+// exec.Cmd.Wait. It fails the test after d.
+func (p *process) waitExit(d time.Duration) error {
 	select {
-	case <-p.ended:
-		return p.err
+	case <-p.exited:
+		return p.exitErr
 	case <-time.After(d):
-		p.t.Fatalf("%s still runs after %v; it wrote:\n%s", p.cmd.Path, d, tail(p.output()))
+		p.t.Fatalf("%s did not exit within %v; its output:\n%s", p.cmd.Path, d, tail(p.output()))
 		return nil
 	}
 }
 
-// logged returns the newest log line with an event's name.
-func (p *process) logged(name string) (map[string]any, bool) {
+// lastEvent returns the last log line of the event with the given name.
+func (p *process) lastEvent(name string) (map[string]any, bool) {
 	var found map[string]any
 	scanner := bufio.NewScanner(strings.NewReader(p.output()))
 	for scanner.Scan() {
@@ -149,44 +153,49 @@
 	return found, found != nil
 }
 
+// tail returns the last part of s.
 func tail(s string) string {
-	const most = 4000
-	return s[max(0, len(s)-most):]
+	const maxBytes = 4000
+	return s[max(0, len(s)-maxBytes):]
 }
 
-// endpoint is a stand-in server process.
+// endpoint is a simulated endpoint server process.
 type endpoint struct {
 	*process
-	// address is its own, which the list need not show, and args are those of its
-	// program.
+	// address is where the server listens; the listed address can be that of its
+	// relay.
 	address string
+	// args are the command-line arguments, for restarts.
 	args    []string
 	machine mustardsaddle.Machine
-	link    *relay.Relay
+	relay   *relay.Relay
 }
 
-// instance is a gateway process.
-type instance struct {
+// gateway is a gateway process.
+type gateway struct {
 	*process
+	// settings is the path of the settings file.
 	name, url, admin, settings string
 	machine                    mustardsaddle.Machine
-	// store is the gateway's own way to the platform. Callers and other gateways
-	// come over relays too if the system is relayed.
-	store, callers, peers *relay.Relay
-	// former are the earlier lives of its process.
-	former []*process
+	// storeRelay carries the gateway's connections to the platform. callerRelay
+	// and peerRelay carry those of callers and of other gateways; they are nil
+	// unless system.relayed is set.
+	storeRelay, callerRelay, peerRelay *relay.Relay
+	// previous are the earlier processes of a restarted gateway.
+	previous []*process
 }
 
-// system is a small whole system of processes.
+// system is a complete deployment of processes: a platform, endpoint servers
+// and gateways.
 type system struct {
 	t        testing.TB
 	platform string
-	// relayed puts a relay before each server and gateway, and extra holds more
-	// sections of the gateways' settings.
-	relayed  bool
-	extra    string
-	servers  []*endpoint
-	gateways []*instance
+	// relayed puts a relay in front of each server and gateway.
+	relayed bool
+	// extraSettings is appended to the settings of each gateway.
+	extraSettings string
+	servers       []*endpoint
+	gateways      []*gateway
 }
 
 const rules = `# Generation 0
@@ -195,22 +204,22 @@
 Path=/videos Service=Booking Deadline=60s # Ana: induction videos
 `
 
-// newSystem starts a platform, servers and gateways, and waits until every
-// gateway knows all servers and answers calls.
+// newSystem starts a platform, servers and gateways. It returns when every
+// gateway knows all servers and serves calls.
 func newSystem(t testing.TB, servers, gateways int, serverArgs ...string) *system {
-	return newLaggingSystem(t, listLag, 0, servers, gateways, serverArgs...)
+	return newSystemWithLag(t, listLag, 0, servers, gateways, serverArgs...)
 }
 
-// newLaggingSystem is newSystem with a platform whose list lags by the given time,
-// and with servers that are listed one after another at least gap apart.
-func newLaggingSystem(t testing.TB, lag, gap time.Duration, servers, gateways int, serverArgs ...string) *system {
+// newSystemWithLag is like newSystem, but with the given lag of the platform's
+// list of VMs and at least the given gap between the listings of two servers.
+func newSystemWithLag(t testing.TB, lag, gap time.Duration, servers, gateways int, serverArgs ...string) *system {
 	s := &system{t: t}
-	s.platform = "http://" + listening(start(t, "standin", "platform", "--listen", "127.0.0.1:0", "--lag", lag.String()))
+	s.platform = "http://" + waitListening(startProcess(t, "standin", "platform", "--listen", "127.0.0.1:0", "--lag", lag.String()))
 	for i := range servers {
 		s.addServer(i, serverArgs...)
 		time.Sleep(gap)
 	}
-	s.submit(rules)
+	s.submitRules(rules)
 	for i := range gateways {
 		s.addGateway(i)
 	}
@@ -218,29 +227,30 @@
 		s.startGateway(g)
 	}
 	for _, g := range s.gateways {
-		s.wait("gateway "+g.name+" to know the servers", func() bool { return len(g.servers()) == servers })
-		s.wait("gateway "+g.name+" to answer", func() bool { return g.ready() && get(g.url+"/rosters").ok() })
+		s.waitFor("gateway "+g.name+" to know all servers", func() bool { return len(g.knownServers()) == servers })
+		s.waitFor("gateway "+g.name+" to serve calls", func() bool { return g.ready() && get(g.url+"/rosters").ok() })
 	}
 	return s
 }
 
-// listening waits for a stand-in to print its address.
-func listening(p *process) string {
-	const mark = "listens on "
-	deadline := time.Now().Add(patience)
+// waitListening waits until a standin process prints its listen address, and
+// returns the address.
+func waitListening(p *process) string {
+	const prefix = "listens on "
+	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
-		if _, rest, ok := strings.Cut(p.output(), mark); ok {
+		if _, rest, ok := strings.Cut(p.output(), prefix); ok {
 			if address, _, ok := strings.Cut(rest, "\n"); ok {
 				return address
 			}
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	p.t.Fatalf("%s does not listen; it wrote:\n%s", p.cmd.Path, p.output())
+	p.t.Fatalf("%s did not print a listen address; its output:\n%s", p.cmd.Path, p.output())
 	return ""
 }
 
-// addServer starts a server and lists it.
+// addServer starts a server and adds it to the list of VMs.
 func (s *system) addServer(i int, args ...string) *endpoint {
 	name := fmt.Sprintf("booking-%02d", i)
 	e := &endpoint{address: freeAddress(s.t), machine: mustardsaddle.Machine{
@@ -250,23 +260,23 @@
 	s.startServer(e)
 	e.machine.Address = e.address
 	if s.relayed {
-		e.link = newRelay(s.t, e.address)
-		e.machine.Address = e.link.Address()
+		e.relay = newRelay(s.t, e.address)
+		e.machine.Address = e.relay.Address()
 	}
 	s.servers = append(s.servers, e)
-	s.list(e.machine)
+	s.listMachine(e.machine)
 	return e
 }
 
-// startServer starts a server's program and waits until it listens.
+// startServer starts the process of a server and waits until it listens.
 func (s *system) startServer(e *endpoint) {
-	e.process = start(s.t, "standin", e.args...)
-	listening(e.process)
+	e.process = startProcess(s.t, "standin", e.args...)
+	waitListening(e.process)
 }
 
-// freeAddress returns an address for a gateway. Its IP number, on the loopback
-// network, is drawn at random, so that no outgoing connection, whose number is
-// 127.0.0.1, can take the port before the gateway does.
+// freeAddress returns a free loopback address. Its IP address is random, so
+// that no outgoing connection, which would use 127.0.0.1, takes the port before
+// the process listens on it.
 func freeAddress(t testing.TB) string {
 	ip := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 	l, err := net.Listen("tcp", ip+":0")
@@ -277,16 +287,17 @@
 	return l.Addr().String()
 }
 
-// addGateway writes the settings of a gateway and lists its VM.
-func (s *system) addGateway(i int) *instance {
-	g := &instance{name: fmt.Sprintf("gateway-%d", i+1), store: newRelay(s.t, strings.TrimPrefix(s.platform, "http://"))}
-	listen, admin, links := freeAddress(s.t), freeAddress(s.t), freeAddress(s.t)
-	callers, peer := listen, links
+// addGateway writes the settings file of a gateway and adds its VM to the list.
+// It does not start the process.
+func (s *system) addGateway(i int) *gateway {
+	g := &gateway{name: fmt.Sprintf("gateway-%d", i+1), storeRelay: newRelay(s.t, strings.TrimPrefix(s.platform, "http://"))}
+	listen, admin, peerListen := freeAddress(s.t), freeAddress(s.t), freeAddress(s.t)
+	callerAddress, peerAddress := listen, peerListen
 	if s.relayed {
-		g.callers, g.peers = newRelay(s.t, listen), newRelay(s.t, links)
-		callers, peer = g.callers.Address(), g.peers.Address()
+		g.callerRelay, g.peerRelay = newRelay(s.t, listen), newRelay(s.t, peerListen)
+		callerAddress, peerAddress = g.callerRelay.Address(), g.peerRelay.Address()
 	}
-	g.url, g.admin = "http://"+callers, "http://"+admin
+	g.url, g.admin = "http://"+callerAddress, "http://"+admin
 	zone := fmt.Sprintf("zone-%c", 'a'+i%3)
 	g.settings = filepath.Join(s.t.TempDir(), g.name+".ini")
 	text := fmt.Sprintf(`[Gateway]
@@ -305,61 +316,66 @@
 [Service Booking]
 NotRunStatus = 503
 NotRunHeader = Endpoint-Not-Run
-%s`, g.name, zone, listen, admin, peer, links, g.store.Address(), stopLag, s.extra)
+%s`, g.name, zone, listen, admin, peerAddress, peerListen, g.storeRelay.Address(), stopLag, s.extraSettings)
 	if err := os.WriteFile(g.settings, []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
-	g.machine = mustardsaddle.Machine{Name: g.name, Incarnation: 1, Zone: zone, Address: peer}
-	s.list(g.machine)
+	g.machine = mustardsaddle.Machine{Name: g.name, Incarnation: 1, Zone: zone, Address: peerAddress}
+	s.listMachine(g.machine)
 	s.gateways = append(s.gateways, g)
 	return g
 }
 
-func (s *system) startGateway(g *instance) {
+// startGateway starts or restarts the process of a gateway.
+func (s *system) startGateway(g *gateway) {
 	if g.process != nil {
-		g.former = append(g.former, g.process)
+		g.previous = append(g.previous, g.process)
 	}
-	g.process = start(s.t, "mustardsaddle", "serve", "--settings", g.settings)
+	g.process = startProcess(s.t, "mustardsaddle", "serve", "--settings", g.settings)
 }
 
-// history returns what all lives of the gateway wrote.
-func (g *instance) history() string {
+// fullOutput returns the output of all processes of the gateway, in order.
+func (g *gateway) fullOutput() string {
 	var b strings.Builder
-	for _, p := range append(slices.Clone(g.former), g.process) {
+	for _, p := range append(slices.Clone(g.previous), g.process) {
 		b.WriteString(p.output())
 	}
 	return b.String()
 }
 
-// list puts a VM into the platform's list.
-func (s *system) list(m mustardsaddle.Machine) {
+// listMachine adds or updates a VM in the platform's list.
+func (s *system) listMachine(m mustardsaddle.Machine) {
 	s.putJSON(s.platform+"/machines/"+m.Name, m)
 }
 
-func (s *system) submit(text string) {
+// submitRules submits a rules file.
+func (s *system) submitRules(text string) {
 	s.put(s.platform+"/objects/Rules/Submitted", []byte(text))
 }
 
-func (s *system) fault(f platform.Fault) {
+// setPlatformFault replaces the faults of the platform.
+func (s *system) setPlatformFault(f platform.Fault) {
 	s.putJSON(s.platform+"/faults", f)
 }
 
-func (s *system) mode(e *endpoint, m server.Mode) {
+// setMode replaces the mode of a server.
+func (s *system) setMode(e *endpoint, m server.Mode) {
 	s.putJSON("http://"+e.address+"/mode", m)
 }
 
-// requests returns how many requests a server received, run or refused. Load
-// probes are not requests.
-func (s *system) requests(e *endpoint) int64 {
-	c := s.count(e)
+// requestsReceived returns the number of requests that a server received,
+// including shed ones. Load probes do not count.
+func (s *system) requestsReceived(e *endpoint) int64 {
+	c := s.counts(e)
 	return c.Total + c.Shed
 }
 
-func (s *system) count(e *endpoint) server.Count {
-	a := get("http://" + e.address + "/count")
+// counts returns the counters of a server.
+func (s *system) counts(e *endpoint) server.Count {
+	resp := get("http://" + e.address + "/count")
 	var c server.Count
-	if err := json.Unmarshal(a.body, &c); err != nil {
-		s.t.Fatalf("count of %s: %v %v", e.machine.Name, err, a)
+	if err := json.Unmarshal(resp.body, &c); err != nil {
+		s.t.Fatalf("read the counters of %s: %v %v", e.machine.Name, err, resp)
 	}
 	return c
 }
@@ -373,40 +389,42 @@
 }
 
 func (s *system) put(url string, b []byte) {
-	if a := s.tryPut(url, b); a.err != nil || a.status >= 300 {
-		s.t.Fatalf("put %s: %v", url, a)
+	if resp := s.tryPut(url, b); resp.err != nil || resp.status >= 300 {
+		s.t.Fatalf("put %s: %v", url, resp)
 	}
 }
 
-func (s *system) tryPut(url string, b []byte) answer {
-	return call(context.Background(), http.DefaultClient, http.MethodPut, url, bytes.NewReader(b))
+func (s *system) tryPut(url string, b []byte) response {
+	return sendRequest(context.Background(), http.DefaultClient, http.MethodPut, url, bytes.NewReader(b))
 }
 
-// wait polls until the condition holds, and returns how long it took.
-func (s *system) wait(what string, ok func() bool) time.Duration {
+// waitFor polls until the condition holds and returns how long that took. It
+// fails the test after waitTimeout.
+func (s *system) waitFor(what string, ok func() bool) time.Duration {
 	s.t.Helper()
-	begin := time.Now()
+	start := time.Now()
 	for !ok() {
-		if time.Since(begin) > patience {
+		if time.Since(start) > waitTimeout {
 			for _, g := range s.gateways {
 				if g.process != nil {
-					s.t.Logf("%s wrote:\n%s", g.name, tail(g.output()))
+					s.t.Logf("output of %s:\n%s", g.name, tail(g.output()))
 				}
 			}
-			s.t.Fatalf("waited %v for %s", patience, what)
+			s.t.Fatalf("timed out after %v waiting for %s", waitTimeout, what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	return time.Since(begin)
+	return time.Since(start)
 }
 
-func (g *instance) ready() bool {
+// ready reports whether the gateway's readiness check succeeds.
+func (g *gateway) ready() bool {
 	return get(g.admin+"/readyz").status == http.StatusOK
 }
 
-// generation returns the generation that the gateway has in force, or -1 if the
-// gateway does not say.
-func (g *instance) generation() int64 {
+// generationInForce returns the generation of the rules in force, or -1 if the
+// gateway does not respond with one.
+func (g *gateway) generationInForce() int64 {
 	n, err := strconv.ParseInt(get(g.admin+"/rules").header.Get(admin.GenerationHeader), 10, 64)
 	if err != nil {
 		return -1
@@ -414,45 +432,46 @@
 	return n
 }
 
-// answer is what a caller got.
-type answer struct {
+// response is the result of a request: an error, or a response with its whole
+// body.
+type response struct {
 	err    error
 	status int
 	header http.Header
 	body   []byte
 }
 
-func (a answer) ok() bool {
-	return a.err == nil && a.status == http.StatusOK
+func (r response) ok() bool {
+	return r.err == nil && r.status == http.StatusOK
 }
 
-// String returns a short text for failures.
-func (a answer) String() string {
-	return fmt.Sprintf("status %d, error %v, header %v, %d bytes", a.status, a.err, a.header, len(a.body))
+// String returns a short description for failure messages.
+func (r response) String() string {
+	return fmt.Sprintf("status %d, error %v, header %v, %d bytes", r.status, r.err, r.header, len(r.body))
 }
 
-func get(url string) answer {
-	return call(context.Background(), http.DefaultClient, http.MethodGet, url, nil)
+func get(url string) response {
+	return sendRequest(context.Background(), http.DefaultClient, http.MethodGet, url, nil)
 }
 
-// call makes one request and reads the whole answer.
-func call(ctx context.Context, client *http.Client, method, url string, body io.Reader) answer {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// sendRequest sends a request and reads the whole response.
+func sendRequest(ctx context.Context, client *http.Client, method, url string, body io.Reader) response {
+	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	resp, err := client.Do(r)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(resp.Body)
-	return answer{err: err, status: resp.StatusCode, header: resp.Header, body: b}
+	return response{err: err, status: resp.StatusCode, header: resp.Header, body: b}
 }
 
-// newRelay starts a relay to a target, which ends with the test.
+// newRelay starts a relay to a target. It is closed when the test ends.
 func newRelay(t testing.TB, target string) *relay.Relay {
 	r, err := relay.New(context.Background(), target)
 	if err != nil {
@@ -462,8 +481,9 @@
 	return r
 }
 
-// servers returns the servers that the gateway knows, or none if it does not say.
-func (g *instance) servers() []mustardsaddle.Server {
+// knownServers returns the servers that the gateway knows, or nil if it does
+// not respond with a list.
+func (g *gateway) knownServers() []mustardsaddle.Server {
 	var servers []mustardsaddle.Server
 	if json.Unmarshal(get(g.admin+"/servers").body, &servers) != nil {
 		return nil
@@ -471,9 +491,9 @@
 	return servers
 }
 
-// leaving reports whether the gateway shows a server as leaving.
-func (g *instance) leaving(name string) bool {
-	servers := g.servers()
+// seesLeaving reports whether the gateway considers a server as leaving.
+func (g *gateway) seesLeaving(name string) bool {
+	servers := g.knownServers()
 	at := slices.IndexFunc(servers, func(s mustardsaddle.Server) bool { return s.Name == name })
 	return at >= 0 && servers[at].Leaving
 }
--- a/cmd/mustardsaddle/leaving_test.go
+++ b/cmd/mustardsaddle/leaving_test.go
@@ -11,121 +11,124 @@
 	"mustardsaddle.example/mustardsaddle/internal/standin/server"
 )
 
-// quiet is how long a leaving server is watched for new requests.
-const quiet = 3 * time.Second
+// observationTime is how long a leaving server is checked for new requests.
+const observationTime = 3 * time.Second
 
-// staysQuiet waits until the promised time has passed since the first sign, and
-// returns how many requests the server receives after that.
-func (s *system) staysQuiet(e *endpoint, sign time.Time) int64 {
-	s.wait("the promised time", func() bool { return time.Since(sign) >= promise })
-	before := s.requests(e)
-	begin := time.Now()
-	s.wait("quiet", func() bool { return time.Since(begin) >= quiet })
-	return s.requests(e) - before
+// requestsAfterLimit waits until propagationLimit has passed since the given
+// time, and returns the number of requests that the server receives during the
+// observationTime that follows.
+func (s *system) requestsAfterLimit(e *endpoint, since time.Time) int64 {
+	s.waitFor("the propagation limit", func() bool { return time.Since(since) >= propagationLimit })
+	before := s.requestsReceived(e)
+	start := time.Now()
+	s.waitFor("the observation time", func() bool { return time.Since(start) >= observationTime })
+	return s.requestsReceived(e) - before
 }
 
 func TestLeaving(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// leave gives the first sign that a server leaves.
+		// leave makes the server leave.
 		leave func(*system, *endpoint)
-		// revive, if set, gives an older sign that it does not.
+		// revive, if set, publishes outdated information that the server is live.
 		revive func(*system, *endpoint)
 	}{
 		{
-			name:  "the list alone says so, and an older live follows",
-			leave: listLeaving,
+			name:  "only the list shows it, and an outdated live state follows",
+			leave: listAsLeaving,
 			revive: func(s *system, e *endpoint) {
 				time.Sleep(listLag + time.Second)
-				s.list(e.machine)
+				s.listMachine(e.machine)
 			},
 		},
 		{
-			name:  "its reports alone say so",
-			leave: func(s *system, e *endpoint) { s.mode(e, server.Mode{Draining: true}) },
+			name:  "only its load reports show it",
+			leave: func(s *system, e *endpoint) { s.setMode(e, server.Mode{Draining: true}) },
 		},
 		{
-			name: "its reports say so while the store is down and the list is stale",
+			name: "only its load reports show it, while the store is down and the list is stale",
 			leave: func(s *system, e *endpoint) {
-				s.fault(platform.Fault{Down: true})
-				s.mode(e, server.Mode{Draining: true})
+				s.setPlatformFault(platform.Fault{Down: true})
+				s.setMode(e, server.Mode{Draining: true})
 			},
 		},
 		{
-			name: "one gateway's list says so and the others hear it from that peer",
+			name: "the list shows it to one gateway only, which informs its peers",
 			leave: func(s *system, e *endpoint) {
 				for _, g := range s.gateways[1:] {
-					g.store.Set(relay.Fault{Refuse: true})
-					g.store.Reset()
+					g.storeRelay.Set(relay.Fault{Refuse: true})
+					g.storeRelay.Reset()
 				}
-				listLeaving(s, e)
+				listAsLeaving(s, e)
 			},
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			convey.Convey("Given a server under load that leaves: "+c.name, t, func() {
 				s := newSystem(t, 4, 3)
-				f := newTraffic(12, targets(s.gateways...))
-				defer f.stop()
+				tr := newTraffic(12, targets(s.gateways...))
+				defer tr.stop()
 				e := s.servers[0]
-				busy := s.requests(e)
-				s.wait("requests to the server", func() bool { return s.requests(e) > busy+20 })
-				sign := time.Now()
+				before := s.requestsReceived(e)
+				s.waitFor("requests to the server", func() bool { return s.requestsReceived(e) > before+20 })
+				leftAt := time.Now()
 				c.leave(s, e)
 				if c.revive != nil {
 					c.revive(s, e)
 				}
-				convey.So(s.staysQuiet(e, sign), convey.ShouldEqual, 0)
-				f.stop()
-				convey.So(f.failures(), convey.ShouldBeEmpty)
+				convey.So(s.requestsAfterLimit(e, leftAt), convey.ShouldEqual, 0)
+				tr.stop()
+				convey.So(tr.failures(), convey.ShouldBeEmpty)
 			})
 		})
 	}
 }
 
 func TestMisleadingDraining(t *testing.T) {
-	convey.Convey("Given a server under load that reports draining for a moment by mistake", t, func() {
+	convey.Convey("Given a server under load that erroneously reports draining for a moment", t, func() {
 		s := newSystem(t, 4, 3)
-		f := newTraffic(12, targets(s.gateways...))
-		defer f.stop()
+		tr := newTraffic(12, targets(s.gateways...))
+		defer tr.stop()
 		e := s.servers[0]
-		s.mode(e, server.Mode{Draining: true})
+		s.setMode(e, server.Mode{Draining: true})
 		for _, g := range s.gateways {
-			s.wait("the sign", func() bool { return g.leaving(e.machine.Name) })
+			s.waitFor("the server to be marked as leaving", func() bool { return g.seesLeaving(e.machine.Name) })
 		}
-		s.mode(e, server.Mode{})
-		convey.Convey("It takes requests again", func() {
-			after := s.count(e).Total
-			took := s.wait("requests", func() bool { return s.count(e).Total > after+100 })
-			t.Logf("100 requests ran there %v later", took)
-			f.stop()
-			convey.So(f.failures(), convey.ShouldBeEmpty)
+		s.setMode(e, server.Mode{})
+		convey.Convey("It receives requests again", func() {
+			after := s.counts(e).Total
+			took := s.waitFor("requests", func() bool { return s.counts(e).Total > after+100 })
+			t.Logf("100 requests ran at the server within %v", took)
+			tr.stop()
+			convey.So(tr.failures(), convey.ShouldBeEmpty)
 		})
 	})
 }
 
-// A list that lags names servers one after another. Traffic must not begin while a
-// gateway knows only the first of them, since no gateway can do without that one.
+// Guards the test harness: a lagging list shows the servers one by one. If
+// traffic began while a gateway knows only the first server, calls would fail
+// when that server leaves. newSystem must wait until every gateway knows all
+// servers.
 func TestSystemKnowsAllServers(t *testing.T) {
-	convey.Convey("Given a list that names the servers one after another, while gateways start", t, func() {
-		s := newLaggingSystem(t, 5*listLag, listLag, 4, 3)
-		convey.Convey("Calls are served when the first one leaves", func() {
-			f := newTraffic(12, targets(s.gateways...))
-			defer f.stop()
-			s.fault(platform.Fault{Down: true})
-			s.mode(s.servers[0], server.Mode{Draining: true})
+	convey.Convey("Given a list to which the servers are added one by one while gateways start", t, func() {
+		s := newSystemWithLag(t, 5*listLag, listLag, 4, 3)
+		convey.Convey("Calls succeed when the server that was listed first leaves", func() {
+			tr := newTraffic(12, targets(s.gateways...))
+			defer tr.stop()
+			s.setPlatformFault(platform.Fault{Down: true})
+			s.setMode(s.servers[0], server.Mode{Draining: true})
 			for _, g := range s.gateways {
-				s.wait("the sign", func() bool { return g.leaving(s.servers[0].machine.Name) })
+				s.waitFor("the server to be marked as leaving", func() bool { return g.seesLeaving(s.servers[0].machine.Name) })
 			}
-			f.stop()
-			convey.So(f.failures(), convey.ShouldBeEmpty)
+			tr.stop()
+			convey.So(tr.failures(), convey.ShouldBeEmpty)
 		})
 	})
 }
 
-// listLeaving lists a server as leaving.
-func listLeaving(s *system, e *endpoint) {
+// listAsLeaving updates the list of VMs to show a server as leaving.
+func listAsLeaving(s *system, e *endpoint) {
 	m := e.machine
 	m.Leaving = true
-	s.list(m)
+	s.listMachine(m)
 }
--- a/cmd/mustardsaddle/log_test.go
+++ b/cmd/mustardsaddle/log_test.go
@@ -11,8 +11,9 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-// startUnread starts the gateway with a standard output that nobody reads.
-func (s *system) startUnread(g *instance) *os.File {
+// startWithUnreadOutput starts a gateway whose standard output is a pipe that
+// is not read, and returns the read end.
+func (s *system) startWithUnreadOutput(g *gateway) *os.File {
 	r, w, err := os.Pipe()
 	if err != nil {
 		s.t.Fatal(err)
@@ -20,47 +21,48 @@
 	s.t.Cleanup(func() { _ = r.Close() })
 	p := newProcess(s.t, "mustardsaddle", "serve", "--settings", g.settings)
 	p.cmd.Stdout = w
-	p.launch()
+	p.start()
 	_ = w.Close()
 	g.process = p
 	return r
 }
 
-// A call writes two lines of about 300 bytes, a pipe holds 64 KiB and the gateway
-// 1 MiB of lines: after a few thousand calls both are full.
+// A gateway must not block on a log reader that has stopped reading. Each call
+// logs two lines of about 300 bytes; a pipe buffers 64 KiB and the gateway 1
+// MiB of lines, so both buffers are full after a few thousand calls.
 func TestStuckLogReader(t *testing.T) {
 	const calls = 3000
-	convey.Convey("Given a gateway whose standard output nobody reads", t, func() {
+	convey.Convey("Given a gateway whose standard output is not read", t, func() {
 		s := newSystem(t, 3, 0)
 		g := s.addGateway(0)
-		out := s.startUnread(g)
-		s.wait("the gateway to answer", func() bool { return g.ready() && get(g.url+"/rosters").ok() })
-		f := newTraffic(16, targets(g))
-		defer f.stop()
-		convey.Convey("Calls go on when neither the pipe nor the gateway holds more lines", func() {
-			s.wait("calls", func() bool { return f.calls.Load() > calls })
-			f.stop()
-			convey.So(f.failures(), convey.ShouldBeEmpty)
-			convey.Convey("A reader that comes back finds whole lines and the number of those lost", func() {
+		out := s.startWithUnreadOutput(g)
+		s.waitFor("the gateway to serve calls", func() bool { return g.ready() && get(g.url+"/rosters").ok() })
+		tr := newTraffic(16, targets(g))
+		defer tr.stop()
+		convey.Convey("Calls succeed when the buffers of the pipe and the gateway are full", func() {
+			s.waitFor("calls", func() bool { return tr.calls.Load() > calls })
+			tr.stop()
+			convey.So(tr.failures(), convey.ShouldBeEmpty)
+			convey.Convey("A reader that resumes gets complete lines and the number of lost ones", func() {
 				lost := make(chan float64, 1)
-				go readLines(out, lost)
+				go countLostLines(out, lost)
 				g.signal(syscall.SIGTERM)
-				convey.So(g.waitEnd(patience), convey.ShouldBeNil)
+				convey.So(g.waitExit(waitTimeout), convey.ShouldBeNil)
 				convey.So(<-lost, convey.ShouldBeGreaterThan, 0)
 			})
 		})
-		convey.Convey("A stop ends all the same", func() {
-			s.wait("calls", func() bool { return f.calls.Load() > calls })
-			f.stop()
+		convey.Convey("The gateway still stops gracefully", func() {
+			s.waitFor("calls", func() bool { return tr.calls.Load() > calls })
+			tr.stop()
 			g.signal(syscall.SIGTERM)
-			convey.So(g.waitEnd(patience), convey.ShouldBeNil)
+			convey.So(g.waitExit(waitTimeout), convey.ShouldBeNil)
 		})
 	})
 }
 
-// readLines reads log lines to their end, and sends the number of lines that were
-// lost, or -1 if a line is not whole.
-func readLines(r io.Reader, lost chan<- float64) {
+// countLostLines reads log lines until EOF, and sends the total number of lines
+// that the gateway reports as lost, or -1 if a line is not valid JSON.
+func countLostLines(r io.Reader, lost chan<- float64) {
 	n := 0.0
 	scanner := bufio.NewScanner(r)
 	for scanner.Scan() {
--- a/cmd/mustardsaddle/main.go
+++ b/cmd/mustardsaddle/main.go
@@ -1,5 +1,5 @@
-// Command mustardsaddle is the load balancer. Its commands are in
-// internal/product/command; run it with --help for a list.
+// Command mustardsaddle is the load balancer. Its subcommands are implemented
+// in internal/product/command; run it with --help for a list.
 package main
 
 import (
@@ -17,8 +17,9 @@
 	"mustardsaddle.example/mustardsaddle/platform"
 )
 
-// gcPercent is the heap growth, in percent, at which the collector runs. A gateway's
-// heap is small, so that memory is dearer than the collector's time.
+// gcPercent is the heap growth, in percent, that triggers a garbage collection.
+// The heap of a gateway is small, so more frequent collections cost little CPU
+// time, while memory is the scarcer resource.
 const gcPercent = 25
 
 func main() {
--- a/cmd/mustardsaddle/soak_caller_test.go
+++ b/cmd/mustardsaddle/soak_caller_test.go
@@ -17,27 +17,31 @@
 )
 
 const (
-	// callerPatience is longer than any call takes that keeps its promises.
-	callerPatience = soakDeadline + soakProgress + 3*time.Second
-	// callerPause lies between two calls of one caller.
-	callerPause = 5 * time.Millisecond
-	// downloadBytes is the size of a download.
+	// callerTimeout is longer than any call takes while the system meets its
+	// guarantees.
+	callerTimeout = soakDeadline + soakProgress + 3*time.Second
+	// callerInterval is the pause between two calls of a caller.
+	callerInterval = 5 * time.Millisecond
+	// downloadBytes is the size of the response to a download.
 	downloadBytes = 300_000
-	// longShare of the calls take longWork, and a tenth of those longer than their
-	// deadline.
-	longShare = 0.03
-	longWork  = 500 * time.Millisecond
-	// hastyShare of the callers' calls are given up before hastyPatience is over.
-	hastyShare    = 0.03
-	hastyPatience = 300 * time.Millisecond
-	// claimTries is how often a claimed request is sent at most.
-	claimTries = 3
+	// longWorkShare of the calls state an exponentially distributed working time
+	// with mean longWork. About 2% of these exceed soakDeadline, and more at
+	// slow servers.
+	longWorkShare = 0.03
+	longWork      = 500 * time.Millisecond
+	// abandonShare of the calls are abandoned by their callers after a random
+	// time of at most maxAbandonTimeout.
+	abandonShare      = 0.03
+	maxAbandonTimeout = 300 * time.Millisecond
+	// maxClaimSends is the maximum number of times that a claimed request is
+	// sent.
+	maxClaimSends = 3
 )
 
-// callers call gateways one request after another, on connections that they keep,
-// until they are stopped.
+// callers is a group of concurrent callers. Each sends one request after
+// another on keep-alive connections until it is stopped.
 type callers struct {
-	gateways []*instance
+	gateways []*gateway
 	cancel   context.CancelFunc
 	group    sync.WaitGroup
 
@@ -45,7 +49,8 @@
 	calls []soak.Call
 }
 
-func (s *soaking) newCallers(n int) *callers {
+// newCallers starts n callers.
+func (s *soakRun) newCallers(n int) *callers {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &callers{gateways: s.gateways, cancel: cancel}
 	for i := range n {
@@ -55,12 +60,13 @@
 	return c
 }
 
-// stop ends the callers after their last calls.
+// stop stops the callers and waits for their last calls.
 func (c *callers) stop() {
 	c.cancel()
 	c.group.Wait()
 }
 
+// run sends the calls of one caller.
 func (c *callers) run(ctx context.Context, rng *rand.Rand, caller int) {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -71,43 +77,44 @@
 			Kind:    kinds[rng.IntN(len(kinds))],
 			Gateway: rng.IntN(len(c.gateways)),
 		}
-		plan := callPlan{patience: callerPatience}
-		if rng.Float64() < longShare {
+		plan := callPlan{timeout: callerTimeout}
+		if rng.Float64() < longWorkShare {
 			plan.work = time.Duration(rng.ExpFloat64() * float64(longWork)).String()
 		}
-		if rng.Float64() < hastyShare {
-			plan.patience = time.Duration(rng.Float64() * float64(hastyPatience))
+		if rng.Float64() < abandonShare {
+			plan.timeout = time.Duration(rng.Float64() * float64(maxAbandonTimeout))
 		}
 		c.send(client, call, plan)
-		time.Sleep(callerPause)
+		time.Sleep(callerInterval)
 	}
 }
 
-// callPlan says how a call is made.
+// callPlan holds the parameters of a call.
 type callPlan struct {
-	// work is the working time that the call states; empty for the server's usual.
+	// work is the working time that the call states; empty for the default of
+	// the server.
 	work string
-	// patience is how long the caller waits.
-	patience time.Duration
+	// timeout is how long the caller waits for the response.
+	timeout time.Duration
 }
 
-// lost returns the end of a call whose caller's patience was over.
-func (p callPlan) lost() soak.End {
-	if p.patience < callerPatience {
+// timeoutEnd returns the end of a call whose timeout has expired.
+func (p callPlan) timeoutEnd() soak.End {
+	if p.timeout < callerTimeout {
 		return soak.GaveUp
 	}
 	return soak.TimedOut
 }
 
-// send makes a call. A claimed request that was not answered by a server goes to
-// the next gateways.
+// send makes a call. A claimed request that gets no complete response with the
+// outcome Ran is sent again through the next gateway.
 func (c *callers) send(client *http.Client, call soak.Call, plan callPlan) {
-	tries := 1
+	sends := 1
 	if call.Kind == soak.Claimed {
-		tries = claimTries
+		sends = maxClaimSends
 	}
-	for call.Try = range tries {
-		done := c.try(client, call, plan)
+	for call.Try = range sends {
+		done := c.sendOnce(client, call, plan)
 		c.mu.Lock()
 		c.calls = append(c.calls, done)
 		c.mu.Unlock()
@@ -118,14 +125,14 @@
 	}
 }
 
-// try sends a request once and returns the call with what became of it.
-func (c *callers) try(client *http.Client, call soak.Call, plan callPlan) soak.Call {
-	ctx, cancel := context.WithTimeout(context.Background(), plan.patience)
+// sendOnce sends a request and returns the call with its result.
+func (c *callers) sendOnce(client *http.Client, call soak.Call, plan callPlan) soak.Call {
+	ctx, cancel := context.WithTimeout(context.Background(), plan.timeout)
 	defer cancel()
-	// No connection means that none could be made.
-	call.Fresh = true
+	// If no connection is established, the call counts as being on a new one.
+	call.NewConn = true
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(info httptrace.GotConnInfo) { call.Fresh = !info.Reused },
+		GotConn: func(info httptrace.GotConnInfo) { call.NewConn = !info.Reused },
 	})
 	r, body := newSoakRequest(ctx, c.gateways[call.Gateway].url, call, plan.work)
 	call.Sent = time.Now()
@@ -133,29 +140,29 @@
 	if err != nil {
 		call.Ended, call.End = time.Now(), soak.Broken
 		if ctx.Err() != nil {
-			call.End = plan.lost()
+			call.End = plan.timeoutEnd()
 		}
 		return call
 	}
 	defer func() { _ = resp.Body.Close() }()
 	got, err := io.ReadAll(resp.Body)
 	call.Ended, call.Status = time.Now(), resp.StatusCode
-	call.Outcome, call.Stated = parseOutcome(resp.Header.Get("Mustardsaddle-Outcome"))
+	call.Outcome, call.HasOutcome = parseOutcome(resp.Header.Get("Mustardsaddle-Outcome"))
 	switch {
 	case err != nil && ctx.Err() != nil:
-		call.End = plan.lost()
+		call.End = plan.timeoutEnd()
 	case err != nil:
 		call.End = soak.Cut
 	}
-	call.Own = isOwn(call, body, string(got))
+	call.BodyMatches = bodyMatches(call, body, string(got))
 	return call
 }
 
-// unread hides what a reader is, so that the HTTP client cannot send it again by
-// itself.
-type unread struct{ io.Reader }
+// opaqueReader hides the concrete type of a reader, so that the HTTP client
+// cannot rewind the body and resend the request on its own.
+type opaqueReader struct{ io.Reader }
 
-// newSoakRequest returns a call's request and the text of its body.
+// newSoakRequest returns the request of a call and its body.
 func newSoakRequest(ctx context.Context, url string, call soak.Call, work string) (r *http.Request, body string) {
 	method, path, query := http.MethodPost, "/bookings", "?Work="+work
 	switch call.Kind {
@@ -171,7 +178,7 @@
 	if method == http.MethodPost {
 		body = strings.Repeat(call.ID+" ", 100)
 	}
-	r, err := http.NewRequestWithContext(ctx, method, url+path+query, unread{strings.NewReader(body)})
+	r, err := http.NewRequestWithContext(ctx, method, url+path+query, opaqueReader{strings.NewReader(body)})
 	if err != nil {
 		panic(err)
 	}
@@ -183,8 +190,8 @@
 	return r, body
 }
 
-// isOwn reports whether a body is the answer to a call's own request.
-func isOwn(call soak.Call, sent, got string) bool {
+// bodyMatches reports whether a response body is the expected one for the call.
+func bodyMatches(call soak.Call, sent, got string) bool {
 	switch call.Kind {
 	case soak.Read:
 		return strings.HasPrefix(got, "GET /rosters/"+call.ID+" from ")
@@ -195,6 +202,7 @@
 	}
 }
 
+// parseOutcome parses the outcome header, and reports whether it is valid.
 func parseOutcome(text string) (mustardsaddle.Outcome, bool) {
 	for _, o := range []mustardsaddle.Outcome{mustardsaddle.Unknown, mustardsaddle.NotRun, mustardsaddle.Ran} {
 		if o.String() == text {
--- a/cmd/mustardsaddle/soak_fault_test.go
+++ b/cmd/mustardsaddle/soak_fault_test.go
@@ -15,114 +15,119 @@
 	"mustardsaddle.example/mustardsaddle/internal/standin/soak"
 )
 
-// resetNoticed is the time after which nobody sends on a connection any more that
-// was reset.
-const resetNoticed = 500 * time.Millisecond
+// resetSettleTime is the time after a reset by which no client sends on the
+// reset connections any more.
+const resetSettleTime = 500 * time.Millisecond
 
-// acceptMargin is the time before an address closes in which a new connection may
-// come too late to be accepted. Calls on open connections are answered all the same.
+// acceptMargin is the time before a stopping gateway closes its listener in
+// which a new connection may no longer be accepted in time. Calls on open
+// connections are still served.
 const acceptMargin = 250 * time.Millisecond
 
-// operatorPause lies between two tries of an operator.
-const operatorPause = 100 * time.Millisecond
+// submitRetryInterval is the pause between two attempts of an operator to
+// change the rules.
+const submitRetryInterval = 100 * time.Millisecond
 
-// active counts the faults of one target that last, by kind.
-type active map[soak.Kind]int
+// faultCounts counts the overlapping faults at one target by kind.
+type faultCounts map[soak.Kind]int
 
-// disturb carries the plan out and returns when the last fault has ended.
-func (s *soaking) disturb() {
-	s.begun = time.Now()
+// injectFaults executes the plan and returns when all faults have ended.
+func (s *soakRun) injectFaults() {
+	s.startedAt = time.Now()
 	var group sync.WaitGroup
 	for _, step := range s.plan.Steps {
 		group.Go(func() {
-			time.Sleep(time.Until(s.begun.Add(step.At)))
-			s.carryOut(step)
+			time.Sleep(time.Until(s.startedAt.Add(step.At)))
+			s.inject(step)
 		})
 	}
 	group.Wait()
 }
 
-// carryOut begins a fault and ends it after its time.
-func (s *soaking) carryOut(step soak.Step) {
+// inject begins a fault and ends it after its duration.
+func (s *soakRun) inject(step soak.Step) {
 	switch {
 	case step.Kind == soak.RulesChanged:
 		s.changeRules()
 	case step.Kind.OnLink():
-		s.disturbLink(step)
+		s.injectLinkFault(step)
 	case step.Kind.OnServer():
-		s.disturbServer(step)
+		s.injectServerFault(step)
 	case step.Kind == soak.StoreFrozen:
-		defer s.hold("store")()
-		s.freeze(s.store, step.For)
+		defer s.lock("store")()
+		s.suspend(s.store, step.For)
 	case step.Kind.OnStore():
-		s.setStore(step.Kind, 1)
+		s.updateStoreFault(step.Kind, 1)
 		time.Sleep(step.For)
-		s.setStore(step.Kind, -1)
+		s.updateStoreFault(step.Kind, -1)
 	default:
-		s.disturbGateway(step)
+		s.injectGatewayFault(step)
 	}
 }
 
-// hold waits until no other fault holds a process, and returns what lets it go.
-func (s *soaking) hold(name string) (release func()) {
+// lock locks the mutex with the given name, so that faults of the same process
+// do not overlap, and returns its unlock function.
+func (s *soakRun) lock(name string) (unlock func()) {
 	s.mu.Lock()
-	mu := s.held[name]
+	mu := s.locks[name]
 	if mu == nil {
 		mu = new(sync.Mutex)
-		s.held[name] = mu
+		s.locks[name] = mu
 	}
 	s.mu.Unlock()
 	mu.Lock()
 	return mu.Unlock
 }
 
-// trouble notes that a gateway is disturbed from now on, and returns what ends that.
-func (s *soaking) trouble(t soak.Trouble) (end func()) {
-	t.From, t.To = time.Now(), time.Now().Add(time.Hour)
+// openFaultWindow records that a fault window begins now. It returns a function
+// that ends the window.
+func (s *soakRun) openFaultWindow(w soak.FaultWindow) (end func()) {
+	w.From, w.To = time.Now(), time.Now().Add(time.Hour)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.troubles = append(s.troubles, &t)
+	s.windows = append(s.windows, &w)
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		t.To = time.Now()
+		w.To = time.Now()
 	}
 }
 
-func (s *soaking) freeze(p *process, d time.Duration) {
+// suspend suspends a process for d.
+func (s *soakRun) suspend(p *process, d time.Duration) {
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	p.signal(syscall.SIGCONT)
 }
 
-func (s *soaking) disturbGateway(step soak.Step) {
+func (s *soakRun) injectGatewayFault(step soak.Step) {
 	g := s.gateways[step.Target]
-	defer s.hold(g.name)()
+	defer s.lock(g.name)()
 	switch step.Kind {
 	case soak.GatewayKilled:
-		defer s.trouble(soak.Trouble{Gateway: step.Target, Breaks: true})()
+		defer s.openFaultWindow(soak.FaultWindow{Gateway: step.Target, MayFail: true})()
 		g.signal(syscall.SIGKILL)
-		s.restart(g, step.For)
+		s.awaitExitAndRestart(g, step.For)
 	case soak.GatewayFrozen:
-		defer s.trouble(soak.Trouble{Gateway: step.Target, Delays: true})()
-		s.freeze(g.process, step.For)
+		defer s.openFaultWindow(soak.FaultWindow{Gateway: step.Target, MayDelay: true})()
+		s.suspend(g.process, step.For)
 	case soak.GatewayStopped:
 		g.signal(syscall.SIGTERM)
 		closes := time.Now().Add(stopLag)
 		time.Sleep(stopLag - acceptMargin)
-		defer s.trouble(soak.Trouble{Gateway: step.Target, Breaks: true, Fresh: true, FromSend: true})()
+		defer s.openFaultWindow(soak.FaultWindow{Gateway: step.Target, MayFail: true, NewConnOnly: true, SentWithin: true})()
 		time.Sleep(time.Until(closes))
-		defer s.trouble(soak.Trouble{Gateway: step.Target, Breaks: true, FromSend: true})()
-		if err := g.waitEnd(patience); err != nil {
-			s.t.Errorf("%s stopped with %v, want no error", g.name, err)
+		defer s.openFaultWindow(soak.FaultWindow{Gateway: step.Target, MayFail: true, SentWithin: true})()
+		if err := g.waitExit(waitTimeout); err != nil {
+			s.t.Errorf("%s exited with %v, want no error", g.name, err)
 		}
-		s.restart(g, step.For)
+		s.awaitExitAndRestart(g, step.For)
 	case soak.GatewayCut:
 		g.signal(syscall.SIGTERM)
 		time.Sleep(min(step.For, stopLag/2))
-		defer s.trouble(soak.Trouble{Gateway: step.Target, Breaks: true})()
+		defer s.openFaultWindow(soak.FaultWindow{Gateway: step.Target, MayFail: true})()
 		g.signal(syscall.SIGTERM)
-		s.restart(g, 0)
+		s.awaitExitAndRestart(g, 0)
 	case soak.GatewayReloaded:
 		s.reload(g, func(text string) string {
 			return strings.Replace(text, fmt.Sprintf("Slack = %d\n", soakSlack), fmt.Sprintf("Slack = %d\n", soakSlack/2), 1)
@@ -130,23 +135,24 @@
 	case soak.GatewayMisread:
 		s.reload(g, func(text string) string { return text + "[Gateway\n" }, step.For)
 	default:
-		s.t.Errorf("got fault %v, want one of gateways", step.Kind)
+		s.t.Errorf("got fault %v, want a fault of gateways", step.Kind)
 	}
 }
 
-// restart waits for a gateway's end, starts it again after a pause and waits until
-// it is ready.
-func (s *soaking) restart(g *instance, pause time.Duration) {
-	<-g.ended
+// awaitExitAndRestart waits until a gateway process exits, restarts it after a
+// pause and waits until it is ready.
+func (s *soakRun) awaitExitAndRestart(g *gateway, pause time.Duration) {
+	<-g.exited
 	time.Sleep(pause)
 	s.mu.Lock()
 	s.startGateway(g)
 	s.mu.Unlock()
-	s.wait(g.name+" to be ready again", g.ready)
+	s.waitFor(g.name+" to become ready again", g.ready)
 }
 
-// reload has a gateway read changed settings, and after a while the former ones.
-func (s *soaking) reload(g *instance, change func(string) string, d time.Duration) {
+// reload makes a gateway reload changed settings, and the original settings
+// after d.
+func (s *soakRun) reload(g *gateway, change func(string) string, d time.Duration) {
 	text, err := os.ReadFile(g.settings)
 	if err != nil {
 		s.t.Error(err)
@@ -162,12 +168,12 @@
 	}
 }
 
-func (s *soaking) disturbServer(step soak.Step) {
+func (s *soakRun) injectServerFault(step soak.Step) {
 	e := s.servers[step.Target]
-	defer s.hold(e.machine.Name)()
+	defer s.lock(e.machine.Name)()
 	idle := 0
 	modes := map[soak.Kind]server.Mode{
-		soak.ServerSlow:         {Factor: soakFactor},
+		soak.ServerSlow:         {Factor: soakSlowFactor},
 		soak.ServerFailing:      {FailFast: true},
 		soak.ServerDraining:     {Draining: true},
 		soak.ServerMisreporting: {ReportInFlight: &idle},
@@ -175,122 +181,127 @@
 	switch step.Kind {
 	case soak.ServerKilled:
 		e.signal(syscall.SIGKILL)
-		<-e.ended
+		<-e.exited
 		time.Sleep(step.For)
 		s.startServer(e)
 		e.machine.Incarnation++
-		s.list(e.machine)
+		s.listMachine(e.machine)
 	case soak.ServerFrozen:
-		s.freeze(e.process, step.For)
+		s.suspend(e.process, step.For)
 	default:
-		s.mode(e, modes[step.Kind])
+		s.setMode(e, modes[step.Kind])
 		time.Sleep(step.For)
-		s.mode(e, server.Mode{})
+		s.setMode(e, server.Mode{})
 	}
 }
 
-// linkOf returns the relay that a fault of links concerns.
-func (s *soaking) linkOf(step soak.Step) *relay.Relay {
+// relayFor returns the relay of the link that a fault concerns.
+func (s *soakRun) relayFor(step soak.Step) *relay.Relay {
 	switch step.Place {
 	case soak.Servers:
-		return s.servers[step.Target].link
+		return s.servers[step.Target].relay
 	case soak.Store:
-		return s.gateways[step.Target].store
+		return s.gateways[step.Target].storeRelay
 	case soak.Peers:
-		return s.gateways[step.Target].peers
+		return s.gateways[step.Target].peerRelay
 	default:
-		return s.gateways[step.Target].callers
+		return s.gateways[step.Target].callerRelay
 	}
 }
 
-func (s *soaking) disturbLink(step soak.Step) {
-	r := s.linkOf(step)
+func (s *soakRun) injectLinkFault(step soak.Step) {
+	r := s.relayFor(step)
 	if step.Place == soak.Callers {
-		defer s.trouble(soak.Trouble{Gateway: step.Target, Breaks: true, Delays: true})()
+		defer s.openFaultWindow(soak.FaultWindow{Gateway: step.Target, MayFail: true, MayDelay: true})()
 	}
 	switch step.Kind {
 	case soak.LinkReset:
-		s.reset(r)
+		s.resetLink(r)
 		return
 	case soak.LinkSilent:
 		r.Silence()
 		time.Sleep(step.For)
 		if step.Place == soak.Callers {
-			// Callers would wait on the silent connections later, too.
-			s.reset(r)
+			// Otherwise callers would still wait on the silent connections after the
+			// fault window.
+			s.resetLink(r)
 		}
 		return
 	default:
 	}
-	s.setLink(r, step.Kind, 1)
+	s.updateLinkFault(r, step.Kind, 1)
 	time.Sleep(step.For)
-	s.setLink(r, step.Kind, -1)
+	s.updateLinkFault(r, step.Kind, -1)
 }
 
-// reset resets the connections of a link, and waits until those who keep them have
-// noticed.
-func (s *soaking) reset(r *relay.Relay) {
+// resetLink resets the connections of a link, and waits until their clients
+// have noticed.
+func (s *soakRun) resetLink(r *relay.Relay) {
 	r.Reset()
-	time.Sleep(resetNoticed)
+	time.Sleep(resetSettleTime)
 }
 
-// lasting changes how many faults of a kind last at a target, and returns all of
-// them. The caller holds mu.
-func (s *soaking) lasting(target string, kind soak.Kind, by int) active {
-	if s.faults[target] == nil {
-		s.faults[target] = make(active)
+// addActiveFault changes the number of active faults of a kind at a target by
+// delta, and returns the active faults of the target. The caller holds mu.
+func (s *soakRun) addActiveFault(target string, kind soak.Kind, delta int) faultCounts {
+	if s.activeFaults[target] == nil {
+		s.activeFaults[target] = make(faultCounts)
 	}
-	s.faults[target][kind] += by
-	return s.faults[target]
+	s.activeFaults[target][kind] += delta
+	return s.activeFaults[target]
 }
 
-// setLink begins or ends a fault of a relay, beside those that last.
-func (s *soaking) setLink(r *relay.Relay, kind soak.Kind, by int) {
+// updateLinkFault adds (delta 1) or removes (delta -1) a fault of a link, and
+// applies all active faults of the link to its relay.
+func (s *soakRun) updateLinkFault(r *relay.Relay, kind soak.Kind, delta int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	last := s.lasting(r.Address(), kind, by)
+	active := s.addActiveFault(r.Address(), kind, delta)
 	f := relay.Fault{
-		HoldUp:   last[soak.LinkHeldUp] > 0,
-		HoldDown: last[soak.LinkHeldDown] > 0,
-		Refuse:   last[soak.LinkRefused] > 0,
+		HoldUp:   active[soak.LinkHeldUp] > 0,
+		HoldDown: active[soak.LinkHeldDown] > 0,
+		Refuse:   active[soak.LinkRefused] > 0,
 	}
-	if last[soak.LinkDelayed] > 0 {
-		f.Delay = soakDelay
+	if active[soak.LinkDelayed] > 0 {
+		f.Delay = soakAddedDelay
 	}
 	r.Set(f)
 }
 
-// setStore begins or ends a fault of the store, beside those that last.
-func (s *soaking) setStore(kind soak.Kind, by int) {
-	// The store is told in order, and may be frozen, which must hold up nothing else.
-	defer s.hold("faults of the store")()
+// updateStoreFault adds (delta 1) or removes (delta -1) a fault of the store,
+// and sends all active faults to the store.
+func (s *soakRun) updateStoreFault(kind soak.Kind, delta int) {
+	// The lock orders the updates. It is not mu, because the store may be suspended
+	// and the request then blocks, which must not delay other faults.
+	defer s.lock("store faults")()
 	s.mu.Lock()
-	last := maps.Clone(s.lasting(s.platform, kind, by))
+	active := maps.Clone(s.addActiveFault(s.platform, kind, delta))
 	s.mu.Unlock()
 	f := platform.Fault{
-		Down:        last[soak.StoreDown] > 0,
-		LoseAnswers: last[soak.StoreLosesAnswers] > 0,
-		HoldWatches: last[soak.StoreSilent] > 0,
+		Down:        active[soak.StoreDown] > 0,
+		LoseAnswers: active[soak.StoreLosesAnswers] > 0,
+		HoldWatches: active[soak.StoreSilent] > 0,
 	}
-	if last[soak.StoreSlow] > 0 {
-		f.Delay = soakDelay
+	if active[soak.StoreSlow] > 0 {
+		f.Delay = soakAddedDelay
 	}
-	if last[soak.StoreLimited] > 0 {
-		f.CallsPerSecond = soakCalls
+	if active[soak.StoreLimited] > 0 {
+		f.CallsPerSecond = soakStoreRate
 	}
-	s.fault(f)
+	s.setPlatformFault(f)
 }
 
-// changeRules adds a path to the rules in force, as an operator would: read them
-// back, edit and submit, and do so again until an answer says that it was taken.
-func (s *soaking) changeRules() {
+// changeRules adds a path to the rules as an operator would: it reads the rules
+// in force, appends a line and submits the result, and retries until the store
+// accepts the submission.
+func (s *soakRun) changeRules() {
 	s.mu.Lock()
-	path := fmt.Sprintf("/added/%d", len(s.routes))
-	s.routes = append(s.routes, path)
+	path := fmt.Sprintf("/added/%d", len(s.addedPaths))
+	s.addedPaths = append(s.addedPaths, path)
 	s.mu.Unlock()
-	var last answer
-	begun := time.Now()
-	for time.Since(begun) < patience {
+	var last response
+	start := time.Now()
+	for time.Since(start) < waitTimeout {
 		last = get(s.platform + "/objects/Rules/InForce")
 		if last.ok() {
 			text := string(last.body) + "Path=" + path + " Service=Booking # Mei Lin: added\n"
@@ -298,7 +309,7 @@
 				return
 			}
 		}
-		time.Sleep(operatorPause)
+		time.Sleep(submitRetryInterval)
 	}
-	s.t.Errorf("the store did not take a rule for %v: %v", patience, last)
+	s.t.Errorf("the store accepted no rule change within %v; last response: %v", waitTimeout, last)
 }
--- a/cmd/mustardsaddle/soak_test.go
+++ b/cmd/mustardsaddle/soak_test.go
@@ -18,35 +18,38 @@
 )
 
 var (
-	soakSeeds    = flag.Int("soak.seeds", 1, "seeds that TestSoak plays")
-	soakFirst    = flag.Uint64("soak.first", 1, "first seed; 0 draws a fresh one")
-	soakLength   = flag.Duration("soak.length", 6*time.Second, "time in which faults come")
-	soakGateways = flag.Int("soak.gateways", 3, "gateway processes")
-	soakServers  = flag.Int("soak.servers", 5, "server processes")
-	soakCallers  = flag.Int("soak.callers", 12, "callers")
-	soakLate     = flag.Duration("soak.late", 0, "how late after its deadline an answer may come; 0 checks no times but the caller's patience")
-	soakLarge    = flag.Bool("soak.large", false, "play the large seeds that have failed, too")
-	soakKeep     = flag.String("soak.keep", "", "directory for the logs of seeds that fail")
+	soakSeeds     = flag.Int("soak.seeds", 1, "number of seeds that TestSoak runs")
+	soakFirstSeed = flag.Uint64("soak.first", 1, "first seed; 0 draws a random one")
+	soakLength    = flag.Duration("soak.length", 6*time.Second, "time during which faults are injected")
+	soakGateways  = flag.Int("soak.gateways", 3, "number of gateway processes")
+	soakServers   = flag.Int("soak.servers", 5, "number of server processes")
+	soakCallers   = flag.Int("soak.callers", 12, "number of concurrent callers")
+	soakLateness  = flag.Duration("soak.late", 0, "how late after its deadline a response may arrive; 0 checks only the timeout of the callers")
+	soakLarge     = flag.Bool("soak.large", false, "also run the large regression seeds")
+	soakLogDir    = flag.String("soak.keep", "", "directory for the gateway logs of failed seeds")
 )
 
 const (
+	// soakDeadline is the deadline of the routes in soakRules, and soakProgress
+	// the progress timeout of downloads.
 	soakDeadline = 2 * time.Second
 	soakProgress = 3 * time.Second
-	// soakRetryShare and soakHedgeShare are shares of the calls in a window.
+	// soakRetryShare and soakHedgeShare are the budgets of retries and hedges,
+	// as ratios to the calls in soakWindow.
 	soakRetryShare = 0.1
 	soakHedgeShare = 0.05
 	soakWindow     = 10 * time.Second
 	soakSlack      = 30
-	// soakDelay is what a delayed link or a slow store adds.
-	soakDelay = 200 * time.Millisecond
-	// soakCalls is the rate of a store that limits its calls, in calls a second.
-	soakCalls = 5
-	// soakFactor multiplies the working times of a slow server.
-	soakFactor = 10
-	// freshSeeds is the range of fresh seeds.
-	freshSeeds = 1_000_000_000
-	// shownViolations is how many violations of a seed are printed.
-	shownViolations = 10
+	// soakAddedDelay is the delay of a delayed link or a slow store.
+	soakAddedDelay = 200 * time.Millisecond
+	// soakStoreRate is the rate limit of a limited store, in calls per second.
+	soakStoreRate = 5
+	// soakSlowFactor multiplies the working times of a slow server.
+	soakSlowFactor = 10
+	// randomSeedRange is the upper bound of random seeds.
+	randomSeedRange = 1_000_000_000
+	// maxPrintedViolations is the maximum number of violations printed per seed.
+	maxPrintedViolations = 10
 )
 
 const soakRules = `# Generation 0
@@ -56,16 +59,16 @@
 Path=/videos Service=Booking Deadline=2s # Ana: induction videos
 `
 
-// soakSize is the size of a run.
+// soakSize is the size and duration of a run.
 type soakSize struct {
-	// length is the time in which faults come.
+	// length is the time during which faults are injected.
 	length                     time.Duration
 	gateways, servers, callers int
 }
 
-// soakFailures are the seeds that have failed, each with its cause. Large ones are
-// played by hand.
-var soakFailures = []struct {
+// soakRegressions are seeds that have failed before, each with the cause. Large
+// ones run only with -soak.large.
+var soakRegressions = []struct {
 	seed  uint64
 	size  soakSize
 	large bool
@@ -74,107 +77,108 @@
 	{
 		seed:  107,
 		size:  soakSize{length: 6 * time.Second, gateways: 3, servers: 5, callers: 12},
-		cause: "with the policy Survey nobody probed a server that had said that it leaves, so that it never came back",
+		cause: "with the policy Survey, no gateway probed a server that had reported draining, so it never received requests again",
 	},
 	{
 		seed:  510,
 		size:  soakSize{length: 12 * time.Second, gateways: 9, servers: 20, callers: 60},
 		large: true,
-		cause: "claims spent the store's budget, so that Rules/InForce was not written and nobody could change the rules",
+		cause: "writes of claims used up the request budget of the store, so Rules/InForce was not written and the rules could not be changed",
 	},
 }
 
-// TestSoakFailures plays the seeds that have failed once more.
+// TestSoakFailures runs the seeds that have failed before.
 func TestSoakFailures(t *testing.T) {
-	for _, f := range soakFailures {
+	for _, f := range soakRegressions {
 		t.Run(fmt.Sprintf("seed %d", f.seed), func(t *testing.T) {
 			if f.large && !*soakLarge {
-				t.Skip("a large run; -soak.large plays it")
+				t.Skip("large system; run with -soak.large")
 			}
 			t.Log(f.cause)
-			playSoak(t, f.seed, f.size)
+			runSoak(t, f.seed, f.size)
 		})
 	}
 }
 
-// TestSoak runs the real programs, disturbs them at random from outside, and
-// checks what callers and servers saw. docs/SOAK.md tells how to run it at length.
+// TestSoak runs the real programs, injects random faults from outside, and
+// checks the history of callers and servers. See docs/SOAK.md for long runs.
 func TestSoak(t *testing.T) {
 	size := soakSize{length: *soakLength, gateways: *soakGateways, servers: *soakServers, callers: *soakCallers}
-	first := *soakFirst
+	first := *soakFirstSeed
 	if first == 0 {
-		first = uint64(time.Now().UnixNano() % freshSeeds)
+		first = uint64(time.Now().UnixNano() % randomSeedRange)
 	}
 	for i := range *soakSeeds {
 		seed := first + uint64(i)
-		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { playSoak(t, seed, size) })
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { runSoak(t, seed, size) })
 	}
 }
 
-// playSoak plays one seed.
-func playSoak(t *testing.T, seed uint64, size soakSize) {
-	s := newSoaking(t, seed, size)
-	defer s.explain()
+// runSoak runs one seed.
+func runSoak(t *testing.T, seed uint64, size soakSize) {
+	s := newSoakRun(t, seed, size)
+	defer s.logFailure()
 	w := watchGenerations(s.gateways)
 	callers := s.newCallers(size.callers)
-	s.disturb()
-	s.settle()
+	s.injectFaults()
+	s.waitRecovered()
 	callers.stop()
-	if fell := w.end(); len(fell) > 0 {
-		t.Errorf("the generation in force fell at %v", fell)
+	if regressed := w.stop(); len(regressed) > 0 {
+		t.Errorf("the rules generation in force decreased at %v", regressed)
 	}
 	s.stopAll()
-	s.judge(callers)
+	s.checkHistory(callers)
 }
 
-// soaking is a system that is being disturbed.
-type soaking struct {
+// soakRun is a system into which the faults of a plan are injected.
+type soakRun struct {
 	*system
 	plan  soak.Plan
 	store *process
-	// record is the file in which servers note what they run.
-	record string
+	// executionsPath is the file to which all servers append their executions.
+	executionsPath string
 
-	// begun is when the faults began.
-	begun time.Time
+	// startedAt is when the fault injection began.
+	startedAt time.Time
 
-	mu       sync.Mutex
-	troubles []*soak.Trouble
-	// faults are those that last: at the store, and at each link by its address.
-	faults map[string]active
-	// held serializes the faults of one process, by its name.
-	held map[string]*sync.Mutex
-	// routes are the paths that operators have added.
-	routes []string
+	mu      sync.Mutex
+	windows []*soak.FaultWindow
+	// activeFaults are the current faults of the store, by its URL, and of each
+	// link, by its relay address.
+	activeFaults map[string]faultCounts
+	// locks serializes the faults of a process, by its name.
+	locks map[string]*sync.Mutex
+	// addedPaths are the paths that changeRules has added.
+	addedPaths []string
 }
 
-// newSoaking starts the system of a seed.
-func newSoaking(t *testing.T, seed uint64, size soakSize) *soaking {
-	s := &soaking{
-		system: &system{t: t, relayed: true, extra: soakSettings(seed)},
-		plan:   soak.NewPlan(soak.Config{Length: size.length, Gateways: size.gateways, Servers: size.servers}, seed),
-		record: filepath.Join(t.TempDir(), "executions"),
-		faults: make(map[string]active),
-		held:   make(map[string]*sync.Mutex),
+// newSoakRun starts the system of a seed and waits until it is healthy.
+func newSoakRun(t *testing.T, seed uint64, size soakSize) *soakRun {
+	s := &soakRun{
+		system:         &system{t: t, relayed: true, extraSettings: soakSettings(seed)},
+		plan:           soak.NewPlan(soak.Config{Length: size.length, Gateways: size.gateways, Servers: size.servers}, seed),
+		executionsPath: filepath.Join(t.TempDir(), "executions"),
+		activeFaults:   make(map[string]faultCounts),
+		locks:          make(map[string]*sync.Mutex),
 	}
-	s.store = start(t, "standin", "platform", "--listen", "127.0.0.1:0", "--lag", listLag.String())
-	s.platform = "http://" + listening(s.store)
+	s.store = startProcess(t, "standin", "platform", "--listen", "127.0.0.1:0", "--lag", listLag.String())
+	s.platform = "http://" + waitListening(s.store)
 	for i := range size.servers {
-		s.addServer(i, "--record", s.record, "--seed", fmt.Sprint(seed))
+		s.addServer(i, "--record", s.executionsPath, "--seed", fmt.Sprint(seed))
 	}
-	s.submit(soakRules)
+	s.submitRules(soakRules)
 	for i := range size.gateways {
 		s.addGateway(i)
 	}
 	for _, g := range s.gateways {
 		s.startGateway(g)
 	}
-	s.waitSound()
+	s.waitHealthy()
 	return s
 }
 
-// soakSettings returns the settings of a seed's gateways. Seeds take the policies
-// in turn.
+// soakSettings returns the gateway settings of a seed. Consecutive seeds
+// alternate between the policies.
 func soakSettings(seed uint64) string {
 	policies := []string{"Default", "Survey"}
 	return fmt.Sprintf(`[Headers]
@@ -191,71 +195,74 @@
 `, server.RequestHeader, soakProgress, soakRetryShare, soakHedgeShare, soakWindow, soakSlack, policies[seed%uint64(len(policies))])
 }
 
-// waitSound waits until each gateway is ready, knows all servers and serves.
-func (s *soaking) waitSound() {
+// waitHealthy waits until each gateway is ready, knows all servers and serves
+// calls.
+func (s *soakRun) waitHealthy() {
 	for _, g := range s.gateways {
-		s.wait(g.name+" to be ready", g.ready)
-		s.wait(g.name+" to know the servers", func() bool { return len(g.servers()) == len(s.servers) })
-		s.wait(g.name+" to serve", func() bool { return get(g.url + "/rosters/1").ok() })
+		s.waitFor(g.name+" to become ready", g.ready)
+		s.waitFor(g.name+" to know all servers", func() bool { return len(g.knownServers()) == len(s.servers) })
+		s.waitFor(g.name+" to serve calls", func() bool { return get(g.url + "/rosters/1").ok() })
 	}
 }
 
-// settle waits for what must hold once nothing is disturbed any more: all is
-// sound, each rule of the operators is in force everywhere, a further one takes
-// force, and each server works again.
-func (s *soaking) settle() {
-	s.waitSound()
+// waitRecovered waits for what must hold once all faults have ended: the system
+// is healthy, all rules added before and one more are in force on every
+// gateway, and every server runs requests again.
+func (s *soakRun) waitRecovered() {
+	s.waitHealthy()
 	s.changeRules()
 	for _, g := range s.gateways {
-		for _, path := range s.routes {
-			s.wait(g.name+" to have "+path+" in force", func() bool { return get(g.url + path).ok() })
+		for _, path := range s.addedPaths {
+			s.waitFor(g.name+" to have the rule for "+path+" in force", func() bool { return get(g.url + path).ok() })
 		}
 	}
 	before := make(map[*endpoint]int64)
 	for _, e := range s.servers {
-		before[e] = s.count(e).Total
+		before[e] = s.counts(e).Total
 	}
 	for _, e := range s.servers {
-		s.wait(e.machine.Name+" to work", func() bool { return s.count(e).Total > before[e] })
+		s.waitFor(e.machine.Name+" to run requests", func() bool { return s.counts(e).Total > before[e] })
 	}
 }
 
-// stopAll stops all gateways at once; each must end by itself and without an error.
-func (s *soaking) stopAll() {
+// stopAll stops all gateways gracefully at the same time. Each must exit
+// without an error.
+func (s *soakRun) stopAll() {
 	for _, g := range s.gateways {
 		g.signal(syscall.SIGTERM)
 	}
 	for _, g := range s.gateways {
-		if err := g.waitEnd(patience); err != nil {
-			s.t.Errorf("%s ended with %v, want no error", g.name, err)
+		if err := g.waitExit(waitTimeout); err != nil {
+			s.t.Errorf("%s exited with %v, want no error", g.name, err)
 		}
 	}
 }
 
-// judge checks what callers and servers saw.
-func (s *soaking) judge(callers *callers) {
+// checkHistory checks the calls of the callers and the executions of the
+// servers, and reports violations with the related log lines.
+func (s *soakRun) checkHistory(callers *callers) {
 	h := soak.History{Calls: callers.calls, Executions: s.executions()}
-	for _, trouble := range s.troubles {
-		h.Troubles = append(h.Troubles, *trouble)
+	for _, w := range s.windows {
+		h.FaultWindows = append(h.FaultWindows, *w)
 	}
-	promise := soak.Promise{
+	limits := soak.Limits{
 		RetryShare: soakRetryShare + soakHedgeShare,
 		Window:     soakWindow,
 		Slack:      soakSlack,
 	}
-	if *soakLate > 0 {
-		promise.Deadline, promise.Progress = soakDeadline+*soakLate, soakProgress
+	if *soakLateness > 0 {
+		limits.Deadline, limits.Progress = soakDeadline+*soakLateness, soakProgress
 	}
-	violations := soak.Judge(h, promise)
+	violations := soak.Check(h, limits)
 	s.t.Logf("%d faults, %d calls, %d executions, %d violations", len(s.plan.Steps), len(h.Calls), len(h.Executions), len(violations))
-	for _, v := range violations[:min(len(violations), shownViolations)] {
-		s.t.Errorf("%v\n%s", v, strings.Join(s.linesOf(v.Request), "\n"))
+	for _, v := range violations[:min(len(violations), maxPrintedViolations)] {
+		s.t.Errorf("%v\n%s", v, strings.Join(s.logLinesAbout(v.Request), "\n"))
 	}
 }
 
-// executions reads what the servers have noted.
-func (s *soaking) executions() []server.Execution {
-	f, err := os.Open(s.record)
+// executions reads the executions that the servers have recorded.
+func (s *soakRun) executions() []server.Execution {
+	f, err := os.Open(s.executionsPath)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -264,18 +271,19 @@
 	for scanner := bufio.NewScanner(f); scanner.Scan(); {
 		var e server.Execution
 		if err := json.Unmarshal(scanner.Bytes(), &e); err != nil {
-			s.t.Fatalf("read the record: %v", err)
+			s.t.Fatalf("read the recorded executions: %v", err)
 		}
 		list = append(list, e)
 	}
 	return list
 }
 
-// linesOf returns the log lines of the gateways about a request.
-func (s *soaking) linesOf(request string) []string {
+// logLinesAbout returns the log lines of all gateways that contain a request
+// ID.
+func (s *soakRun) logLinesAbout(request string) []string {
 	var lines []string
 	for _, g := range s.gateways {
-		for line := range strings.Lines(g.history()) {
+		for line := range strings.Lines(g.fullOutput()) {
 			if request != "" && strings.Contains(line, `"`+request+`"`) {
 				lines = append(lines, g.name+" "+strings.TrimSpace(line))
 			}
@@ -284,21 +292,22 @@
 	return lines
 }
 
-// explain prints the faults of a seed that failed, and keeps the logs.
-func (s *soaking) explain() {
+// logFailure logs the faults of a failed seed, and writes the gateway logs to
+// soakLogDir if set.
+func (s *soakRun) logFailure() {
 	if !s.t.Failed() {
 		return
 	}
-	s.t.Logf("faults from %s on", s.begun.UTC().Format("15:04:05.000"))
+	s.t.Logf("faults, with times relative to %s:", s.startedAt.UTC().Format("15:04:05.000"))
 	for _, step := range s.plan.Steps {
 		s.t.Log(step)
 	}
-	if *soakKeep == "" {
+	if *soakLogDir == "" {
 		return
 	}
 	for _, g := range s.gateways {
-		path := filepath.Join(*soakKeep, fmt.Sprintf("seed-%d-%s.log", s.plan.Seed, g.name))
-		if err := os.WriteFile(path, []byte(g.history()), 0o600); err != nil {
+		path := filepath.Join(*soakLogDir, fmt.Sprintf("seed-%d-%s.log", s.plan.Seed, g.name))
+		if err := os.WriteFile(path, []byte(g.fullOutput()), 0o600); err != nil {
 			s.t.Error(err)
 		}
 	}
--- a/cmd/mustardsaddle/stop_test.go
+++ b/cmd/mustardsaddle/stop_test.go
@@ -22,90 +22,94 @@
 const (
 	// videoBytes is more than the buffers between a server and a caller hold.
 	videoBytes = 64 << 20
-	// uploadBytes is so few that the stand-in echoes them only when it has all.
+	// uploadBytes is so small that the simulated server echoes the body only
+	// once it has received all of it.
 	uploadBytes = 1024
-	// slowTime is the least time that a slow transfer takes.
-	slowTime = 4 * time.Second
-	// slowSteps is in how many steps it is passed at least.
-	slowSteps = 64
-	// stopTime bounds the end of a gateway that has nothing left to do.
-	stopTime = 15 * time.Second
+	// transferTime is the minimum duration of a slow transfer.
+	transferTime = 4 * time.Second
+	// transferSteps is the minimum number of reads of a slow transfer.
+	transferSteps = 64
+	// stopTimeout bounds the exit of a gateway without calls in flight.
+	stopTimeout = 15 * time.Second
 )
 
-// slowly passes the bytes of r, length in all, in steps that take slowTime.
-type slowly struct {
+// slowReader throttles r, which has length bytes in total, so that reading all
+// of it takes at least transferTime.
+type slowReader struct {
 	r      io.Reader
 	length int
 }
 
-// Read reads at most one step.
-func (s slowly) Read(p []byte) (int, error) {
-	time.Sleep(slowTime / slowSteps)
-	return s.r.Read(p[:min(len(p), s.length/slowSteps)])
+// Read sleeps, then reads at most length/transferSteps bytes.
+func (s slowReader) Read(p []byte) (int, error) {
+	time.Sleep(transferTime / transferSteps)
+	return s.r.Read(p[:min(len(p), s.length/transferSteps)])
 }
 
-// download reads a video slowly, and tells whether it came whole.
-func download(url string, began chan<- struct{}) error {
+// download reads a video slowly, and returns an error unless it is complete. It
+// closes started when the response begins.
+func download(url string, started chan<- struct{}) error {
 	resp, err := http.Get(fmt.Sprintf("%s/videos?Size=%d", url, videoBytes))
-	close(began)
+	close(started)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	got := sha256.New()
-	body := slowly{r: bufio.NewReaderSize(resp.Body, videoBytes/slowSteps), length: videoBytes}
-	n, err := io.CopyBuffer(struct{ io.Writer }{got}, body, make([]byte, videoBytes/slowSteps))
+	hash := sha256.New()
+	body := slowReader{r: bufio.NewReaderSize(resp.Body, videoBytes/transferSteps), length: videoBytes}
+	n, err := io.CopyBuffer(struct{ io.Writer }{hash}, body, make([]byte, videoBytes/transferSteps))
 	if err != nil {
-		return fmt.Errorf("got %d of %d bytes: %w", n, videoBytes, err)
+		return fmt.Errorf("read %d of %d bytes: %w", n, videoBytes, err)
 	}
 	want := sha256.Sum256(make([]byte, videoBytes))
-	if !bytes.Equal(got.Sum(nil), want[:]) {
-		return fmt.Errorf("got %d bytes that differ, want %d", n, videoBytes)
+	if !bytes.Equal(hash.Sum(nil), want[:]) {
+		return fmt.Errorf("got %d bytes with the wrong content, want %d zero bytes", n, videoBytes)
 	}
 	return nil
 }
 
-// upload sends a body slowly, and tells whether the echo is whole.
-func upload(url string, began chan<- struct{}) error {
+// upload sends a body slowly, and returns an error unless the whole body is
+// echoed. It closes started before it sends.
+func upload(url string, started chan<- struct{}) error {
 	body := strings.Repeat("booking ", uploadBytes/8)
-	close(began)
-	a := call(context.Background(), http.DefaultClient, http.MethodPost, url+"/bookings",
-		slowly{r: strings.NewReader(body), length: uploadBytes})
-	if !a.ok() || string(a.body) != body {
-		return fmt.Errorf("got %v", a)
+	close(started)
+	resp := sendRequest(context.Background(), http.DefaultClient, http.MethodPost, url+"/bookings",
+		slowReader{r: strings.NewReader(body), length: uploadBytes})
+	if !resp.ok() || string(resp.body) != body {
+		return fmt.Errorf("got response %v, want the echoed body", resp)
 	}
 	return nil
 }
 
 func TestStopUnderLoadCutsNothing(t *testing.T) {
-	convey.Convey("Given a gateway with downloads, uploads, queued and keep-alive callers", t, func() {
+	convey.Convey("Given a gateway with downloads, uploads, queued calls and keep-alive connections", t, func() {
 		s := newSystem(t, 6, 2, "--work", "20ms")
 		g := s.gateways[0]
 		list := targets(s.gateways...)
-		f := newTraffic(40, list)
-		defer f.stop()
+		tr := newTraffic(40, list)
+		defer tr.stop()
 		const transfers = 2
-		ends := make(chan error, 2*transfers)
+		results := make(chan error, 2*transfers)
 		for range transfers {
-			got, sent := make(chan struct{}), make(chan struct{})
-			go func() { ends <- download(g.url, got) }()
-			go func() { ends <- upload(g.url, sent) }()
-			<-got
-			<-sent
+			downloadStarted, uploadStarted := make(chan struct{}), make(chan struct{})
+			go func() { results <- download(g.url, downloadStarted) }()
+			go func() { results <- upload(g.url, uploadStarted) }()
+			<-downloadStarted
+			<-uploadStarted
 		}
-		convey.Convey("SIGTERM ends it with nothing cut, and calls go on through the other", func() {
+		convey.Convey("SIGTERM stops it without cutting off a call, and calls through the other gateway succeed", func() {
 			g.signal(syscall.SIGTERM)
-			s.wait("the gateway to be unready", func() bool { return !g.ready() })
+			s.waitFor("the gateway to become unready", func() bool { return !g.ready() })
 			list[0].closed.Store(true)
-			for range cap(ends) {
-				convey.So(<-ends, convey.ShouldBeNil)
+			for range cap(results) {
+				convey.So(<-results, convey.ShouldBeNil)
 			}
-			convey.So(g.waitEnd(stopTime), convey.ShouldBeNil)
-			after := f.calls.Load()
-			s.wait("calls through the other gateway", func() bool { return f.calls.Load() > after+100 })
-			f.stop()
-			convey.So(f.failures(), convey.ShouldBeEmpty)
-			line, ok := g.logged("StopEnded")
+			convey.So(g.waitExit(stopTimeout), convey.ShouldBeNil)
+			after := tr.calls.Load()
+			s.waitFor("calls through the other gateway", func() bool { return tr.calls.Load() > after+100 })
+			tr.stop()
+			convey.So(tr.failures(), convey.ShouldBeEmpty)
+			line, ok := g.lastEvent("StopEnded")
 			convey.So(ok, convey.ShouldBeTrue)
 			convey.So(line["Cut"], convey.ShouldEqual, 0)
 		})
@@ -113,24 +117,24 @@
 }
 
 func TestSecondSignalEndsAtOnce(t *testing.T) {
-	convey.Convey("Given a gateway that stops while a download goes on", t, func() {
+	convey.Convey("Given a gateway that is stopping while a download is in progress", t, func() {
 		s := newSystem(t, 1, 1)
 		g := s.gateways[0]
-		began, end := make(chan struct{}), make(chan error, 1)
-		go func() { end <- download(g.url, began) }()
-		<-began
+		started, result := make(chan struct{}), make(chan error, 1)
+		go func() { result <- download(g.url, started) }()
+		<-started
 		g.signal(syscall.SIGTERM)
-		s.wait("the stop", func() bool { _, ok := g.logged("StopBegun"); return ok })
-		convey.Convey("A second signal ends it and it says what it cut", func() {
+		s.waitFor("the stop to begin", func() bool { _, ok := g.lastEvent("StopBegun"); return ok })
+		convey.Convey("A second signal makes it exit immediately and log the number of calls that it cut off", func() {
 			g.signal(syscall.SIGTERM)
-			begin := time.Now()
-			err := g.waitEnd(stopTime)
-			convey.So(time.Since(begin), convey.ShouldBeLessThan, slowTime/2)
+			start := time.Now()
+			err := g.waitExit(stopTimeout)
+			convey.So(time.Since(start), convey.ShouldBeLessThan, transferTime/2)
 			convey.So(err, convey.ShouldHaveSameTypeAs, &exec.ExitError{})
-			line, ok := g.logged("StopEnded")
+			line, ok := g.lastEvent("StopEnded")
 			convey.So(ok, convey.ShouldBeTrue)
 			convey.So(line["Cut"], convey.ShouldEqual, 1)
-			convey.So(<-end, convey.ShouldNotBeNil)
+			convey.So(<-result, convey.ShouldNotBeNil)
 		})
 	})
 }
@@ -142,17 +146,17 @@
 	}{
 		{"down", platform.Fault{Down: true}},
 		{"slow", platform.Fault{Delay: 10 * time.Second}},
-		{"well", platform.Fault{}},
+		{"healthy", platform.Fault{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			convey.Convey("Given a gateway that starts while the platform is "+c.name, t, func() {
 				s := newSystem(t, 1, 0)
 				g := s.addGateway(0)
-				s.fault(c.fault)
+				s.setPlatformFault(c.fault)
 				s.startGateway(g)
-				s.wait("the start", func() bool { _, ok := g.logged("Started"); return ok })
+				s.waitFor("the gateway to start", func() bool { _, ok := g.lastEvent("Started"); return ok })
 				g.signal(syscall.SIGTERM)
-				convey.So(g.waitEnd(stopTime), convey.ShouldBeNil)
+				convey.So(g.waitExit(stopTimeout), convey.ShouldBeNil)
 			})
 		})
 	}
--- a/cmd/mustardsaddle/traffic_test.go
+++ b/cmd/mustardsaddle/traffic_test.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// traffic is callers that call gateways one request after another, on
-// connections that they keep, until they are stopped.
+// traffic is a group of concurrent callers. Each sends one request after
+// another on keep-alive connections until it is stopped.
 type traffic struct {
 	cancel context.CancelFunc
 	group  sync.WaitGroup
 
-	calls atomic.Int64
-	mu    sync.Mutex
-	bad   []string
-	seen  map[string]int
+	calls    atomic.Int64
+	mu       sync.Mutex
+	failed   []string
+	outcomes map[string]int
 }
 
-// target is a gateway that callers call while it is open, as the platform's
-// balancer would let them.
+// target is a gateway that receives calls until closed is set, as if the
+// platform's load balancer took it out of rotation.
 type target struct {
 	url    string
 	closed *atomic.Bool
 }
 
-func targets(gateways ...*instance) []target {
+func targets(gateways ...*gateway) []target {
 	var list []target
 	for _, g := range gateways {
 		list = append(list, target{url: g.url, closed: new(atomic.Bool)})
@@ -37,14 +37,14 @@
 	return list
 }
 
-// newTraffic starts callers; every third call is one that must not be repeated.
+// newTraffic starts callers. Every third call must not be repeated.
 func newTraffic(callers int, list []target) *traffic {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &traffic{cancel: cancel, seen: make(map[string]int)}
+	tr := &traffic{cancel: cancel, outcomes: make(map[string]int)}
 	for i := range callers {
-		f.group.Add(1)
+		tr.group.Add(1)
 		go func() {
-			defer f.group.Done()
+			defer tr.group.Done()
 			client := &http.Client{Transport: &http.Transport{}}
 			defer client.CloseIdleConnections()
 			for n := i; ctx.Err() == nil; n++ {
@@ -53,44 +53,45 @@
 					time.Sleep(time.Millisecond)
 					continue
 				}
-				f.call(client, to.url, n, fmt.Sprintf("%d-%d", i, n))
+				tr.sendNext(client, to.url, n, fmt.Sprintf("%d-%d", i, n))
 				time.Sleep(2 * time.Millisecond)
 			}
 		}()
 	}
-	return f
+	return tr
 }
 
-func (f *traffic) call(client *http.Client, url string, n int, id string) {
-	f.calls.Add(1)
+// sendNext sends call n of a caller and records its result.
+func (tr *traffic) sendNext(client *http.Client, url string, n int, id string) {
+	tr.calls.Add(1)
 	if n%3 > 0 {
-		a := call(context.Background(), client, http.MethodGet, url+"/rosters", nil)
-		f.note(a, a.ok())
+		resp := sendRequest(context.Background(), client, http.MethodGet, url+"/rosters", nil)
+		tr.record(resp, resp.ok())
 		return
 	}
 	body := strings.Repeat(id+" ", 100)
-	a := call(context.Background(), client, http.MethodPost, url+"/bookings", strings.NewReader(body))
-	f.note(a, a.ok() && string(a.body) == body)
+	resp := sendRequest(context.Background(), client, http.MethodPost, url+"/bookings", strings.NewReader(body))
+	tr.record(resp, resp.ok() && string(resp.body) == body)
 }
 
-func (f *traffic) note(a answer, ok bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.seen[a.header.Get("Mustardsaddle-Outcome")]++
+func (tr *traffic) record(resp response, ok bool) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.outcomes[resp.header.Get("Mustardsaddle-Outcome")]++
 	if !ok {
-		f.bad = append(f.bad, time.Now().Format("05.000 ")+a.String())
+		tr.failed = append(tr.failed, time.Now().Format("05.000 ")+resp.String())
 	}
 }
 
-// failures returns the failed calls so far.
-func (f *traffic) failures() []string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return append([]string(nil), f.bad...)
+// failures returns descriptions of the calls that have failed so far.
+func (tr *traffic) failures() []string {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return append([]string(nil), tr.failed...)
 }
 
-// stop ends the callers after their last call.
-func (f *traffic) stop() {
-	f.cancel()
-	f.group.Wait()
+// stop stops the callers and waits for their last calls.
+func (tr *traffic) stop() {
+	tr.cancel()
+	tr.group.Wait()
 }
--- a/internal/standin/soak/history.go
+++ b/internal/standin/soak/history.go
@@ -11,92 +11,95 @@
 type CallKind int
 
 const (
-	// Read is idempotent and has a small answer.
+	// Read is an idempotent call with a small response.
 	Read CallKind = iota
-	// Booking must not be repeated.
+	// Booking is a call that must run at most once, and that its caller sends once.
 	Booking
-	// Claimed must not be repeated either, but its caller may send it again under
-	// one key, through any gateway.
+	// Claimed is a call that must run at most once, although its caller may send
+	// it again with the same idempotency key through any gateway.
 	Claimed
-	// Download is idempotent and has a large answer.
+	// Download is an idempotent call with a large response.
 	Download
 )
 
-// Once reports whether calls of this kind may run once at most.
-func (k CallKind) Once() bool {
+// AtMostOnce reports whether calls of this kind must run at most once.
+func (k CallKind) AtMostOnce() bool {
 	return k == Booking || k == Claimed
 }
 
-// End says what a caller saw of a call.
+// End is how a call ended for its caller.
 type End int
 
 const (
-	// Answered is a whole answer.
+	// Answered means that a complete response was received.
 	Answered End = iota
-	// Cut is an answer whose body broke off.
+	// Cut means that the response body ended early.
 	Cut
-	// Broken is a connection that ended before an answer.
+	// Broken means that the connection failed before a response.
 	Broken
-	// TimedOut is no answer within the caller's own patience.
+	// TimedOut means that the caller's timeout expired.
 	TimedOut
-	// GaveUp is a caller that left before its time.
+	// GaveUp means that the caller abandoned the call early on purpose.
 	GaveUp
 )
 
-// Call is one call that a caller made.
+// Call is one call as seen by its caller.
 type Call struct {
-	// ID is the caller's name of the request, and Try counts its sends from 0.
+	// ID is the caller's request ID, and Try counts the sends of that request
+	// from 0.
 	ID  string
 	Try int
-	// Kind is the kind of call, and Gateway the number of the gateway.
+	// Kind is the kind of call, and Gateway the index of the gateway.
 	Kind    CallKind
 	Gateway int
-	// Fresh tells that the call was the first on its connection.
-	Fresh bool
-	// Sent and Ended bound the call.
+	// NewConn is true if the call was the first on its connection.
+	NewConn bool
+	// Sent and Ended are when the call began and ended.
 	Sent, Ended time.Time
-	// End, Status and Outcome are what the caller saw.
+	// End, Status and Outcome are the result that the caller saw.
 	End     End
 	Status  int
 	Outcome mustardsaddle.Outcome
-	// Stated tells whether the answer stated an outcome.
-	Stated bool
-	// Own tells whether the body is the answer to this very request.
-	Own bool
+	// HasOutcome is true if the response stated an outcome.
+	HasOutcome bool
+	// BodyMatches is true if the body is the expected response to this request.
+	BodyMatches bool
 }
 
-// ran reports whether the caller got a server's answer that says so.
-func (c Call) ran() bool {
-	return c.End == Answered && c.Stated && c.Outcome == mustardsaddle.Ran
+// reportedRan reports whether the caller got a complete response that states
+// Ran.
+func (c Call) reportedRan() bool {
+	return c.End == Answered && c.HasOutcome && c.Outcome == mustardsaddle.Ran
 }
 
-// Trouble is a time in which a gateway, or the way to it, was disturbed.
-type Trouble struct {
-	// Gateway is the number of the gateway, and From and To bound the time.
+// FaultWindow is a time during which faults affect a gateway or the link to it,
+// so that calls through it may fail or be late.
+type FaultWindow struct {
+	// Gateway is the index of the gateway, and From and To bound the window.
 	Gateway  int
 	From, To time.Time
-	// Breaks tells that calls may break in this time, and Delays that they may be
-	// late.
-	Breaks, Delays bool
-	// FromSend restricts the trouble to calls that were sent in this time, and Fresh
-	// to those on new connections.
-	FromSend, Fresh bool
+	// MayFail means that calls in the window may fail, and MayDelay that they
+	// may be late.
+	MayFail, MayDelay bool
+	// SentWithin restricts the window to calls that were sent within it, and
+	// NewConnOnly to calls on new connections.
+	SentWithin, NewConnOnly bool
 }
 
-// covers reports whether a call ran into the trouble.
-func (t Trouble) covers(c Call) bool {
-	if t.Gateway != c.Gateway || c.Sent.After(t.To) || t.Fresh && !c.Fresh {
+// appliesTo reports whether the window covers a call.
+func (w FaultWindow) appliesTo(c Call) bool {
+	if w.Gateway != c.Gateway || c.Sent.After(w.To) || w.NewConnOnly && !c.NewConn {
 		return false
 	}
-	if t.FromSend {
-		return !c.Sent.Before(t.From)
+	if w.SentWithin {
+		return !c.Sent.Before(w.From)
 	}
-	return !c.Ended.Before(t.From)
+	return !c.Ended.Before(w.From)
 }
 
-// History is all that callers and servers saw.
+// History is everything that callers and servers recorded during a run.
 type History struct {
-	Calls      []Call
-	Executions []server.Execution
-	Troubles   []Trouble
+	Calls        []Call
+	Executions   []server.Execution
+	FaultWindows []FaultWindow
 }
--- a/internal/standin/soak/judge.go
+++ b/internal/standin/soak/judge.go
@@ -9,198 +9,206 @@
 	"mustardsaddle.example/mustardsaddle/internal/standin/server"
 )
 
-// Rule is a promise of docs/SPEC.md.
+// Rule is a guarantee of docs/SPEC.md that Check verifies.
 type Rule int
 
 const (
-	// AttemptOnce says that an attempt runs once at most.
+	// AttemptOnce requires that an attempt runs at most once.
 	AttemptOnce Rule = iota
-	// RequestOnce says that a request that must not be repeated runs once at most.
+	// RequestOnce requires that a request which must not be repeated runs at
+	// most once.
 	RequestOnce
-	// NotRunIsTrue says that a call that is told NotRun has not run and never will.
+	// NotRunIsTrue requires that a call reported as NotRun has not run and never
+	// will.
 	NotRunIsTrue
-	// RanIsTrue says that a call that is told Ran has run.
+	// RanIsTrue requires that a call reported as Ran has run.
 	RanIsTrue
-	// OutcomeStated says that each answer states its outcome.
+	// OutcomeStated requires that each response states an outcome.
 	OutcomeStated
-	// OwnAnswer says that a successful answer is whole and that of its request.
+	// OwnAnswer requires that a successful response is complete and belongs to
+	// its request.
 	OwnAnswer
-	// Unbroken says that a call gets an answer from a gateway that is not disturbed.
+	// Unbroken requires that a call gets a response unless a fault window
+	// excuses it.
 	Unbroken
-	// InTime says that it gets the answer by its deadline.
+	// InTime requires that a call gets its response by the deadline unless a
+	// fault window excuses it.
 	InTime
-	// RetriesBounded says that retries and hedges stay in their budgets.
+	// RetriesBounded requires that retries and hedges stay within their budgets.
 	RetriesBounded
 )
 
-// Promise holds the bounds of the promises.
-type Promise struct {
-	// Deadline bounds calls other than downloads, and downloads until their answer
-	// begins. 0 bounds nothing.
+// Limits are the bounds that the invariants refer to.
+type Limits struct {
+	// Deadline bounds the duration of a call; for a download, the time until its
+	// response begins. 0 disables the checks of durations.
 	Deadline time.Duration
-	// Progress bounds the time in which a download stands still.
+	// Progress bounds the time without progress of a download.
 	Progress time.Duration
-	// RetryShare is the share of retries and hedges in the calls of a Window, and
-	// Slack how many may come on top.
+	// RetryShare is the ratio of retries and hedges to calls that is allowed
+	// within any Window, and Slack the number allowed in addition.
 	RetryShare float64
 	Window     time.Duration
 	Slack      int
 }
 
-// Violation is a promise that was not kept.
+// Violation is a violated invariant.
 type Violation struct {
 	Rule Rule
-	// Request is the caller's name of the request, if it concerns one.
+	// Request is the caller's request ID; empty if the violation does not
+	// concern a single request.
 	Request string
-	// Text says what was seen.
-	Text string
+	// Detail describes the violation.
+	Detail string
 }
 
-// String returns the violation as one line.
+// String returns a one-line description.
 func (v Violation) String() string {
-	return fmt.Sprintf("%v %s: %s", v.Rule, v.Request, v.Text)
+	return fmt.Sprintf("%v %s: %s", v.Rule, v.Request, v.Detail)
 }
 
-// Judge returns the promises that were not kept.
-func Judge(h History, p Promise) []Violation {
-	j := &judge{
-		history:   h,
-		promise:   p,
-		byRequest: make(map[string][]server.Execution),
-		tries:     make(map[string]int),
+// Check returns the violations found in a history.
+func Check(h History, limits Limits) []Violation {
+	chk := &checker{
+		history:    h,
+		limits:     limits,
+		executions: make(map[string][]server.Execution),
+		sends:      make(map[string]int),
 	}
 	for _, e := range h.Executions {
-		j.byRequest[e.Request] = append(j.byRequest[e.Request], e)
+		chk.executions[e.Request] = append(chk.executions[e.Request], e)
 	}
 	for _, c := range h.Calls {
-		j.tries[c.ID]++
+		chk.sends[c.ID]++
 	}
-	j.attempts()
-	j.requests()
+	chk.checkAttempts()
+	chk.checkRequests()
 	for _, c := range h.Calls {
-		j.outcome(c)
-		j.end(c)
+		chk.checkOutcome(c)
+		chk.checkEnd(c)
 	}
-	j.retries()
-	return j.violations
+	chk.checkRetries()
+	return chk.violations
 }
 
-type judge struct {
-	history   History
-	promise   Promise
-	byRequest map[string][]server.Execution
-	// tries counts the sends of each request.
-	tries      map[string]int
+// checker holds the state of one Check.
+type checker struct {
+	history History
+	limits  Limits
+	// executions holds the executions by request ID.
+	executions map[string][]server.Execution
+	// sends counts the sends by request ID.
+	sends      map[string]int
 	violations []Violation
 }
 
-func (j *judge) add(rule Rule, request, format string, args ...any) {
-	j.violations = append(j.violations, Violation{Rule: rule, Request: request, Text: fmt.Sprintf(format, args...)})
+func (chk *checker) addViolation(rule Rule, request, format string, args ...any) {
+	chk.violations = append(chk.violations, Violation{Rule: rule, Request: request, Detail: fmt.Sprintf(format, args...)})
 }
 
-// attempts checks that no attempt ran twice.
-func (j *judge) attempts() {
-	seen := make(map[string]server.Execution, len(j.history.Executions))
-	for _, e := range j.history.Executions {
+// checkAttempts checks AttemptOnce.
+func (chk *checker) checkAttempts() {
+	seen := make(map[string]server.Execution, len(chk.history.Executions))
+	for _, e := range chk.history.Executions {
 		if first, ok := seen[e.Attempt]; ok {
-			j.add(AttemptOnce, e.Request, "attempt %s ran on %s and on %s", e.Attempt, first.Server, e.Server)
+			chk.addViolation(AttemptOnce, e.Request, "attempt %s ran twice: on %s and on %s", e.Attempt, first.Server, e.Server)
 		}
 		seen[e.Attempt] = e
 	}
 }
 
-// requests checks that nothing ran twice that must run once at most.
-func (j *judge) requests() {
+// checkRequests checks RequestOnce.
+func (chk *checker) checkRequests() {
 	checked := make(map[string]bool)
-	for _, c := range j.history.Calls {
-		if !c.Kind.Once() || checked[c.ID] {
+	for _, c := range chk.history.Calls {
+		if !c.Kind.AtMostOnce() || checked[c.ID] {
 			continue
 		}
 		checked[c.ID] = true
-		if runs := j.byRequest[c.ID]; len(runs) > 1 {
-			j.add(RequestOnce, c.ID, "%v ran %d times: %v", c.Kind, len(runs), runs)
+		if runs := chk.executions[c.ID]; len(runs) > 1 {
+			chk.addViolation(RequestOnce, c.ID, "%v call ran %d times: %v", c.Kind, len(runs), runs)
 		}
 	}
 }
 
-// outcome checks what a call was told against what servers did. Of a request that
-// was sent several times, nobody can say which send ran, so that NotRun is checked
-// for single sends.
-func (j *judge) outcome(c Call) {
+// checkOutcome checks the outcome that the caller received against the
+// executions. If a request was sent several times, it is unknown which send
+// ran, so NotRun is checked only for requests sent once.
+func (chk *checker) checkOutcome(c Call) {
 	if c.End != Answered {
 		return
 	}
-	runs := j.byRequest[c.ID]
+	runs := chk.executions[c.ID]
 	switch {
-	case !c.Stated:
-		j.add(OutcomeStated, c.ID, "status %d without an outcome", c.Status)
-	case c.Outcome == mustardsaddle.NotRun && j.tries[c.ID] == 1 && len(runs) > 0:
-		j.add(NotRunIsTrue, c.ID, "status %d says NotRun, but it ran: %v", c.Status, runs)
-	case c.ran() && len(runs) == 0:
-		j.add(RanIsTrue, c.ID, "status %d says Ran, but no server ran it", c.Status)
-	case c.ran() && c.Status < 300 && !c.Own:
-		j.add(OwnAnswer, c.ID, "status %d with a body that is not its own", c.Status)
+	case !c.HasOutcome:
+		chk.addViolation(OutcomeStated, c.ID, "response with status %d states no outcome", c.Status)
+	case c.Outcome == mustardsaddle.NotRun && chk.sends[c.ID] == 1 && len(runs) > 0:
+		chk.addViolation(NotRunIsTrue, c.ID, "response with status %d states NotRun, but the request ran: %v", c.Status, runs)
+	case c.reportedRan() && len(runs) == 0:
+		chk.addViolation(RanIsTrue, c.ID, "response with status %d states Ran, but no server ran the request", c.Status)
+	case c.reportedRan() && c.Status < 300 && !c.BodyMatches:
+		chk.addViolation(OwnAnswer, c.ID, "response with status %d has a body that does not match the request", c.Status)
 	}
 }
 
-// end checks that a call had an answer, and in time.
-func (j *judge) end(c Call) {
-	var breaks, delays bool
-	for _, t := range j.history.Troubles {
-		if t.covers(c) {
-			breaks = breaks || t.Breaks
-			delays = delays || t.Delays
+// checkEnd checks that a call got a response, and in time.
+func (chk *checker) checkEnd(c Call) {
+	var mayFail, mayDelay bool
+	for _, w := range chk.history.FaultWindows {
+		if w.appliesTo(c) {
+			mayFail = mayFail || w.MayFail
+			mayDelay = mayDelay || w.MayDelay
 		}
 	}
-	if breaks {
+	if mayFail {
 		return
 	}
 	took := c.Ended.Sub(c.Sent)
-	const seen = "%v through gateway %d: %v after %v, sent %s"
+	const format = "%v call through gateway %d ended as %v after %v; it was sent at %s"
 	switch {
 	case c.End == Broken, c.End == Cut && c.Kind != Download:
-		j.add(Unbroken, c.ID, seen, c.Kind, c.Gateway, c.End, took, clock(c.Sent))
-	case !delays && (c.End == TimedOut || j.late(c, took)):
-		j.add(InTime, c.ID, seen, c.Kind, c.Gateway, c.End, took, clock(c.Sent))
+		chk.addViolation(Unbroken, c.ID, format, c.Kind, c.Gateway, c.End, took, formatTime(c.Sent))
+	case !mayDelay && (c.End == TimedOut || chk.exceedsLimit(c, took)):
+		chk.addViolation(InTime, c.ID, format, c.Kind, c.Gateway, c.End, took, formatTime(c.Sent))
 	}
 }
 
-// late reports whether a call took longer than is promised.
-func (j *judge) late(c Call, took time.Duration) bool {
-	bound := j.promise.Deadline
+// exceedsLimit reports whether a call took longer than allowed.
+func (chk *checker) exceedsLimit(c Call, took time.Duration) bool {
+	limit := chk.limits.Deadline
 	if c.Kind == Download {
-		bound += j.promise.Progress
+		limit += chk.limits.Progress
 	}
-	return j.promise.Deadline > 0 && took > bound
+	return chk.limits.Deadline > 0 && took > limit
 }
 
-// clock returns a time as it stands in logs.
-func clock(t time.Time) string {
+// formatTime formats a time as in the logs.
+func formatTime(t time.Time) string {
 	return t.UTC().Format("15:04:05.000")
 }
 
-// retries checks the budget of retries and hedges in each window that ends with
-// an attempt.
-func (j *judge) retries() {
-	extra := extraAttempts(j.history.Executions)
-	calls := make([]time.Time, 0, len(j.history.Calls))
-	for _, c := range j.history.Calls {
+// checkRetries checks the budget of retries and hedges in each window that ends
+// with an extra attempt.
+func (chk *checker) checkRetries() {
+	extra := extraAttempts(chk.history.Executions)
+	calls := make([]time.Time, 0, len(chk.history.Calls))
+	for _, c := range chk.history.Calls {
 		calls = append(calls, c.Sent)
 	}
 	slices.SortFunc(calls, time.Time.Compare)
 	for i, at := range extra {
-		from := at.Add(-j.promise.Window)
-		n := i + 1 - before(extra, from)
-		bound := j.promise.RetryShare*float64(before(calls, at)-before(calls, from)) + float64(j.promise.Slack)
-		if float64(n) > bound {
-			j.add(RetriesBounded, "", "%d retries and hedges in the %v before %s, want at most %.1f", n, j.promise.Window, clock(at), bound)
+		from := at.Add(-chk.limits.Window)
+		n := i + 1 - countBefore(extra, from)
+		limit := chk.limits.RetryShare*float64(countBefore(calls, at)-countBefore(calls, from)) + float64(chk.limits.Slack)
+		if float64(n) > limit {
+			chk.addViolation(RetriesBounded, "", "%d retries and hedges in the %v before %s, want at most %.1f", n, chk.limits.Window, formatTime(at), limit)
 			return
 		}
 	}
 }
 
-// extraAttempts returns the times of all executions that were not the first of
-// their request, in order.
+// extraAttempts returns the start times, in order, of all executions other than
+// the first of each request.
 func extraAttempts(executions []server.Execution) []time.Time {
 	sorted := slices.SortedFunc(slices.Values(executions), func(a, b server.Execution) int { return a.At.Compare(b.At) })
 	seen := make(map[string]bool, len(sorted))
@@ -214,8 +222,8 @@
 	return extra
 }
 
-// before returns how many of the sorted times lie before t.
-func before(times []time.Time, t time.Time) int {
+// countBefore returns the number of the sorted times that are before t.
+func countBefore(times []time.Time, t time.Time) int {
 	n, _ := slices.BinarySearchFunc(times, t, time.Time.Compare)
 	return n
 }
--- a/internal/standin/soak/judge_test.go
+++ b/internal/standin/soak/judge_test.go
@@ -12,26 +12,26 @@
 	"mustardsaddle.example/mustardsaddle/internal/standin/soak"
 )
 
-// start is when the histories of these tests begin.
+// start is the start time of the histories.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// at returns a time some milliseconds after the start.
+// at returns the time the given number of milliseconds after start.
 func at(ms int) time.Time {
 	return start.Add(time.Duration(ms) * time.Millisecond)
 }
 
-// ran returns a call that was answered as promised.
+// ran returns a successful call that was reported as Ran.
 func ran(id string, kind soak.CallKind) soak.Call {
 	return soak.Call{
 		ID: id, Kind: kind, Sent: at(0), Ended: at(100),
-		Status: 200, Outcome: mustardsaddle.Ran, Stated: true, Own: true,
+		Status: 200, Outcome: mustardsaddle.Ran, HasOutcome: true, BodyMatches: true,
 	}
 }
 
-// refused returns a call that was told NotRun.
-func refused(id string, kind soak.CallKind) soak.Call {
+// notRun returns a call that was refused with the outcome NotRun.
+func notRun(id string, kind soak.CallKind) soak.Call {
 	c := ran(id, kind)
-	c.Status, c.Outcome, c.Own = 503, mustardsaddle.NotRun, false
+	c.Status, c.Outcome, c.BodyMatches = 503, mustardsaddle.NotRun, false
 	return c
 }
 
@@ -39,8 +39,8 @@
 	return server.Execution{Server: "booking-00", Request: request, Attempt: attempt, At: at(ms)}
 }
 
-// rulesOf returns the rules that violations break, each once, in order.
-func rulesOf(violations []soak.Violation) []soak.Rule {
+// violatedRules returns the sorted set of rules that are violated.
+func violatedRules(violations []soak.Violation) []soak.Rule {
 	var rules []soak.Rule
 	for _, v := range violations {
 		rules = append(rules, v.Rule)
@@ -50,107 +50,107 @@
 }
 
 func TestJudge(t *testing.T) {
-	promise := soak.Promise{Deadline: time.Second, Progress: time.Second, RetryShare: 0.5, Window: 10 * time.Second, Slack: 1}
+	limits := soak.Limits{Deadline: time.Second, Progress: time.Second, RetryShare: 0.5, Window: 10 * time.Second, Slack: 1}
 	once := []server.Execution{execution("r", "a", 10)}
 	twice := []server.Execution{execution("r", "a", 10), execution("r", "b", 20)}
-	change := func(c soak.Call, f func(*soak.Call)) soak.Call {
+	with := func(c soak.Call, f func(*soak.Call)) soak.Call {
 		f(&c)
 		return c
 	}
-	broken := change(ran("r", soak.Booking), func(c *soak.Call) { c.End = soak.Broken })
-	late := change(ran("r", soak.Read), func(c *soak.Call) { c.Ended = at(1500) })
-	outside := soak.Trouble{From: at(200), To: at(300), Breaks: true, Delays: true}
-	inside := soak.Trouble{From: at(50), To: at(300), Breaks: true}
+	failed := with(ran("r", soak.Booking), func(c *soak.Call) { c.End = soak.Broken })
+	late := with(ran("r", soak.Read), func(c *soak.Call) { c.Ended = at(1500) })
+	windowAfter := soak.FaultWindow{From: at(200), To: at(300), MayFail: true, MayDelay: true}
+	windowDuring := soak.FaultWindow{From: at(50), To: at(300), MayFail: true}
 	for _, c := range []struct {
 		name       string
 		calls      []soak.Call
 		executions []server.Execution
-		troubles   []soak.Trouble
-		broken     []soak.Rule
+		windows    []soak.FaultWindow
+		violated   []soak.Rule
 	}{
 		{name: "a call that ran", calls: []soak.Call{ran("r", soak.Booking)}, executions: once},
-		{name: "a call that was refused", calls: []soak.Call{refused("r", soak.Booking)}},
-		{name: "a read that was sent to two servers", calls: []soak.Call{ran("r", soak.Read)}, executions: twice},
-		{name: "a booking that ran twice", calls: []soak.Call{ran("r", soak.Booking)}, executions: twice, broken: []soak.Rule{soak.RequestOnce}},
-		{name: "a claimed request that ran twice", calls: []soak.Call{ran("r", soak.Claimed)}, executions: twice, broken: []soak.Rule{soak.RequestOnce}},
+		{name: "a call that was reported as NotRun and did not run", calls: []soak.Call{notRun("r", soak.Booking)}},
+		{name: "an idempotent call that ran twice", calls: []soak.Call{ran("r", soak.Read)}, executions: twice},
+		{name: "a booking that ran twice", calls: []soak.Call{ran("r", soak.Booking)}, executions: twice, violated: []soak.Rule{soak.RequestOnce}},
+		{name: "a claimed request that ran twice", calls: []soak.Call{ran("r", soak.Claimed)}, executions: twice, violated: []soak.Rule{soak.RequestOnce}},
 		{
 			name: "an attempt that ran twice", calls: []soak.Call{ran("r", soak.Read)},
-			executions: []server.Execution{execution("r", "a", 10), execution("r", "a", 20)}, broken: []soak.Rule{soak.AttemptOnce},
+			executions: []server.Execution{execution("r", "a", 10), execution("r", "a", 20)}, violated: []soak.Rule{soak.AttemptOnce},
 		},
-		{name: "NotRun of a call that ran", calls: []soak.Call{refused("r", soak.Read)}, executions: once, broken: []soak.Rule{soak.NotRunIsTrue}},
+		{name: "NotRun reported for a call that ran", calls: []soak.Call{notRun("r", soak.Read)}, executions: once, violated: []soak.Rule{soak.NotRunIsTrue}},
 		{
-			name: "NotRun of a call that ran later", calls: []soak.Call{refused("r", soak.Read)},
-			executions: []server.Execution{execution("r", "a", 5000)}, broken: []soak.Rule{soak.NotRunIsTrue},
+			name: "NotRun reported for a call that ran later", calls: []soak.Call{notRun("r", soak.Read)},
+			executions: []server.Execution{execution("r", "a", 5000)}, violated: []soak.Rule{soak.NotRunIsTrue},
 		},
 		{
-			name:       "NotRun of one of two sends",
-			calls:      []soak.Call{refused("r", soak.Claimed), change(ran("r", soak.Claimed), func(c *soak.Call) { c.Try = 1 })},
+			name:       "NotRun reported for one of two sends",
+			calls:      []soak.Call{notRun("r", soak.Claimed), with(ran("r", soak.Claimed), func(c *soak.Call) { c.Try = 1 })},
 			executions: once,
 		},
-		{name: "Ran of a call that did not", calls: []soak.Call{ran("r", soak.Read)}, broken: []soak.Rule{soak.RanIsTrue}},
+		{name: "Ran reported for a call that did not run", calls: []soak.Call{ran("r", soak.Read)}, violated: []soak.Rule{soak.RanIsTrue}},
 		{
-			name: "an answer without an outcome", executions: once,
-			calls: []soak.Call{change(ran("r", soak.Read), func(c *soak.Call) { c.Stated = false })}, broken: []soak.Rule{soak.OutcomeStated},
+			name: "a response without an outcome", executions: once,
+			calls: []soak.Call{with(ran("r", soak.Read), func(c *soak.Call) { c.HasOutcome = false })}, violated: []soak.Rule{soak.OutcomeStated},
 		},
 		{
-			name: "another's answer", executions: once,
-			calls: []soak.Call{change(ran("r", soak.Read), func(c *soak.Call) { c.Own = false })}, broken: []soak.Rule{soak.OwnAnswer},
+			name: "the response to another request", executions: once,
+			calls: []soak.Call{with(ran("r", soak.Read), func(c *soak.Call) { c.BodyMatches = false })}, violated: []soak.Rule{soak.OwnAnswer},
 		},
-		{name: "a broken call", calls: []soak.Call{broken}, broken: []soak.Rule{soak.Unbroken}},
-		{name: "a broken call before a trouble", calls: []soak.Call{broken}, troubles: []soak.Trouble{outside}, broken: []soak.Rule{soak.Unbroken}},
-		{name: "a broken call in a trouble", calls: []soak.Call{broken}, troubles: []soak.Trouble{inside}},
+		{name: "a failed call", calls: []soak.Call{failed}, violated: []soak.Rule{soak.Unbroken}},
+		{name: "a failed call before the fault window", calls: []soak.Call{failed}, windows: []soak.FaultWindow{windowAfter}, violated: []soak.Rule{soak.Unbroken}},
+		{name: "a failed call in the fault window", calls: []soak.Call{failed}, windows: []soak.FaultWindow{windowDuring}},
 		{
-			name: "a broken call of another gateway than the troubled one", calls: []soak.Call{broken},
-			troubles: []soak.Trouble{{Gateway: 1, From: at(50), To: at(300), Breaks: true}}, broken: []soak.Rule{soak.Unbroken},
+			name: "a failed call through another gateway than that of the fault window", calls: []soak.Call{failed},
+			windows: []soak.FaultWindow{{Gateway: 1, From: at(50), To: at(300), MayFail: true}}, violated: []soak.Rule{soak.Unbroken},
 		},
 		{
-			name: "a broken call that was sent before the address closed", calls: []soak.Call{broken},
-			troubles: []soak.Trouble{{From: at(50), To: at(300), Breaks: true, FromSend: true}}, broken: []soak.Rule{soak.Unbroken},
+			name: "a failed call that was sent before the listener closed", calls: []soak.Call{failed},
+			windows: []soak.FaultWindow{{From: at(50), To: at(300), MayFail: true, SentWithin: true}}, violated: []soak.Rule{soak.Unbroken},
 		},
 		{
-			name: "a broken call on an open connection just before the address closes", calls: []soak.Call{broken},
-			troubles: []soak.Trouble{{From: at(0), To: at(300), Breaks: true, FromSend: true, Fresh: true}}, broken: []soak.Rule{soak.Unbroken},
+			name: "a failed call on an open connection just before the listener closes", calls: []soak.Call{failed},
+			windows: []soak.FaultWindow{{From: at(0), To: at(300), MayFail: true, SentWithin: true, NewConnOnly: true}}, violated: []soak.Rule{soak.Unbroken},
 		},
 		{
-			name:     "a broken call on a new connection just before the address closes",
-			calls:    []soak.Call{change(broken, func(c *soak.Call) { c.Fresh = true })},
-			troubles: []soak.Trouble{{From: at(0), To: at(300), Breaks: true, FromSend: true, Fresh: true}},
+			name:    "a failed call on a new connection just before the listener closes",
+			calls:   []soak.Call{with(failed, func(c *soak.Call) { c.NewConn = true })},
+			windows: []soak.FaultWindow{{From: at(0), To: at(300), MayFail: true, SentWithin: true, NewConnOnly: true}},
 		},
 		{
-			name:  "a download that is cut",
-			calls: []soak.Call{change(ran("r", soak.Download), func(c *soak.Call) { c.End = soak.Cut })}, executions: once,
+			name:  "a truncated download",
+			calls: []soak.Call{with(ran("r", soak.Download), func(c *soak.Call) { c.End = soak.Cut })}, executions: once,
 		},
 		{
-			name: "a small answer that is cut", executions: once,
-			calls: []soak.Call{change(ran("r", soak.Read), func(c *soak.Call) { c.End = soak.Cut })}, broken: []soak.Rule{soak.Unbroken},
+			name: "a truncated small response", executions: once,
+			calls: []soak.Call{with(ran("r", soak.Read), func(c *soak.Call) { c.End = soak.Cut })}, violated: []soak.Rule{soak.Unbroken},
 		},
-		{name: "a late answer", calls: []soak.Call{late}, executions: once, broken: []soak.Rule{soak.InTime}},
-		{name: "a late answer in a pause", calls: []soak.Call{late}, executions: once, troubles: []soak.Trouble{{From: at(50), To: at(60), Delays: true}}},
+		{name: "a late response", calls: []soak.Call{late}, executions: once, violated: []soak.Rule{soak.InTime}},
+		{name: "a late response in a fault window with delays", calls: []soak.Call{late}, executions: once, windows: []soak.FaultWindow{{From: at(50), To: at(60), MayDelay: true}}},
 		{
-			name: "a caller that left", executions: once,
-			calls: []soak.Call{change(ran("r", soak.Booking), func(c *soak.Call) { c.End = soak.GaveUp })},
+			name: "a call that its caller abandoned", executions: once,
+			calls: []soak.Call{with(ran("r", soak.Booking), func(c *soak.Call) { c.End = soak.GaveUp })},
 		},
 		{
-			name: "a booking that ran twice although its caller left", executions: twice,
-			calls:  []soak.Call{change(ran("r", soak.Booking), func(c *soak.Call) { c.End = soak.GaveUp })},
-			broken: []soak.Rule{soak.RequestOnce},
+			name: "a booking that ran twice and was abandoned", executions: twice,
+			calls:    []soak.Call{with(ran("r", soak.Booking), func(c *soak.Call) { c.End = soak.GaveUp })},
+			violated: []soak.Rule{soak.RequestOnce},
 		},
 		{
-			name: "no answer", calls: []soak.Call{change(ran("r", soak.Read), func(c *soak.Call) { c.End = soak.TimedOut })},
-			broken: []soak.Rule{soak.InTime},
+			name: "a call that timed out", calls: []soak.Call{with(ran("r", soak.Read), func(c *soak.Call) { c.End = soak.TimedOut })},
+			violated: []soak.Rule{soak.InTime},
 		},
 		{
-			name:  "more retries than the budget",
+			name:  "more retries than the budget allows",
 			calls: []soak.Call{ran("r", soak.Read), ran("s", soak.Read)},
 			executions: []server.Execution{
 				execution("r", "a", 10), execution("r", "b", 20), execution("r", "c", 30), execution("s", "d", 30), execution("s", "e", 40),
 			},
-			broken: []soak.Rule{soak.RetriesBounded},
+			violated: []soak.Rule{soak.RetriesBounded},
 		},
 	} {
 		convey.Convey(c.name, t, func() {
-			got := soak.Judge(soak.History{Calls: c.calls, Executions: c.executions, Troubles: c.troubles}, promise)
-			convey.So(rulesOf(got), convey.ShouldResemble, c.broken)
+			got := soak.Check(soak.History{Calls: c.calls, Executions: c.executions, FaultWindows: c.windows}, limits)
+			convey.So(violatedRules(got), convey.ShouldResemble, c.violated)
 		})
 	}
 }
--- a/internal/standin/soak/plan.go
+++ b/internal/standin/soak/plan.go
@@ -1,15 +1,15 @@
-// Package soak plans random faults for a small system of real processes, and
-// judges from what callers and servers saw whether the system kept its promises.
-// It does no I/O: whoever runs the processes carries a plan out and brings what
-// was seen.
+// Package soak generates random fault schedules for soak tests of a small
+// system of real processes, and checks the recorded histories of callers and
+// servers against the invariants of the system. It performs no I/O: the test
+// harness injects the faults and records the history.
 //
 // # Usage
 //
 //	plan := soak.NewPlan(soak.Config{Length: 10 * time.Second, Gateways: 3, Servers: 5}, seed)
 //	for _, step := range plan.Steps {
-//		// at step.At, begin the fault; after step.For, end it
+//		// At step.At, inject the fault; after step.For, clear it.
 //	}
-//	for _, v := range soak.Judge(history, promise) {
+//	for _, v := range soak.Check(history, limits) {
 //		fmt.Println(v)
 //	}
 package soak
@@ -24,65 +24,68 @@
 
 //go:generate go tool -modfile=../../../tools/go.mod stringer -type=Kind,Place,CallKind,End,Rule -output=enum_string.go
 
-// Kind is a kind of fault, or something that an operator does.
+// Kind is a kind of fault, or an action of an operator.
 type Kind int
 
 const (
-	// GatewayKilled kills a gateway, which starts again at the end.
+	// GatewayKilled kills a gateway with SIGKILL and restarts it after a pause.
 	GatewayKilled Kind = iota
-	// GatewayFrozen pauses a gateway.
+	// GatewayFrozen suspends a gateway process.
 	GatewayFrozen
-	// GatewayStopped stops a gateway gracefully and starts it again.
+	// GatewayStopped stops a gateway gracefully and restarts it.
 	GatewayStopped
-	// GatewayCut stops a gateway and sends the signal again before it has ended.
+	// GatewayCut stops a gateway and repeats the signal before the graceful stop
+	// has ended, which forces it to exit.
 	GatewayCut
-	// GatewayReloaded has a gateway read its settings again.
+	// GatewayReloaded makes a gateway reload changed settings.
 	GatewayReloaded
-	// GatewayMisread has a gateway read settings that are not valid.
+	// GatewayMisread makes a gateway reload invalid settings.
 	GatewayMisread
-	// ServerKilled kills a server, which starts again at the end.
+	// ServerKilled kills a server and restarts it after a pause.
 	ServerKilled
-	// ServerFrozen pauses a server.
+	// ServerFrozen suspends a server process.
 	ServerFrozen
 	// ServerSlow multiplies the working times of a server.
 	ServerSlow
-	// ServerFailing has a server answer 500 at once.
+	// ServerFailing makes a server respond with 500 without doing any work.
 	ServerFailing
-	// ServerDraining has a server say that it leaves, and refuse requests.
+	// ServerDraining makes a server report that it is draining, and refuse
+	// requests.
 	ServerDraining
-	// ServerMisreporting has a server report that it is idle whatever it does.
+	// ServerMisreporting makes a server report that it is idle regardless of its
+	// load.
 	ServerMisreporting
-	// LinkDelayed delays the bytes of a link.
+	// LinkDelayed delays the data of a link.
 	LinkDelayed
 	// LinkReset resets the connections of a link.
 	LinkReset
-	// LinkHeldUp keeps back what callers of a link send.
+	// LinkHeldUp holds the requests on a link.
 	LinkHeldUp
-	// LinkHeldDown keeps back the answers on a link.
+	// LinkHeldDown holds the responses on a link.
 	LinkHeldDown
-	// LinkSilent makes the open connections of a link silent for good.
+	// LinkSilent black-holes the open connections of a link permanently.
 	LinkSilent
 	// LinkRefused refuses new connections of a link.
 	LinkRefused
-	// StoreDown has the store refuse every call.
+	// StoreDown makes the store refuse every request.
 	StoreDown
-	// StoreSlow delays the answers of the store.
+	// StoreSlow delays the responses of the store.
 	StoreSlow
-	// StoreLosesAnswers has the store take writes without an answer.
+	// StoreLosesAnswers makes the store apply writes without responding.
 	StoreLosesAnswers
-	// StoreSilent keeps the watches of the store silent.
+	// StoreSilent makes the store report no changes to watches.
 	StoreSilent
-	// StoreLimited has the store refuse calls above a low rate.
+	// StoreLimited makes the store refuse requests above a low rate.
 	StoreLimited
-	// StoreFrozen pauses the store.
+	// StoreFrozen suspends the store process.
 	StoreFrozen
-	// RulesChanged has an operator add a rule.
+	// RulesChanged is an operator who adds a routing rule.
 	RulesChanged
 
-	kinds = int(RulesChanged) + 1
+	kindCount = int(RulesChanged) + 1
 )
 
-// Place says between whom a link lies.
+// Place identifies the two ends of a link.
 type Place int
 
 const (
@@ -92,52 +95,53 @@
 	Servers
 	// Store is the link between one gateway and the store.
 	Store
-	// Peers is the link over which other gateways reach one gateway.
+	// Peers is the link through which the other gateways connect to one gateway.
 	Peers
 
-	places = int(Peers) + 1
+	placeCount = int(Peers) + 1
 )
 
-// Config says what a plan is for.
+// Config is the size of a plan.
 type Config struct {
-	// Length is the time by which the last fault has ended.
+	// Length is the time by which all faults have ended.
 	Length time.Duration
 	// Gateways and Servers are the numbers of processes.
 	Gateways, Servers int
 }
 
 const (
-	// meanPause is the mean time from one fault, or series of faults, to the next.
-	meanPause = 600 * time.Millisecond
-	// minFault and maxFault bound how long a fault lasts.
-	minFault = 100 * time.Millisecond
-	maxFault = 4 * time.Second
-	// seriesShare is how many of the faults come in series.
+	// meanInterval is the mean time between the starts of two faults or series.
+	meanInterval = 600 * time.Millisecond
+	// minDuration and maxDuration bound the duration of a fault.
+	minDuration = 100 * time.Millisecond
+	maxDuration = 4 * time.Second
+	// seriesShare is the probability that a fault is the first of a series.
 	seriesShare = 0.3
-	// maxSeries is the longest series, in faults.
+	// maxSeries is the maximum number of faults in a series.
 	maxSeries = 4
-	// maxGap is the longest pause inside a series.
-	maxGap = time.Second
+	// maxSeriesGap is the maximum time between two faults of a series.
+	maxSeriesGap = time.Second
 )
 
-// Step is one fault.
+// Step is one fault of a plan.
 type Step struct {
-	// At is when it begins, from the start, and For how long it lasts.
+	// At is when the fault begins, relative to the start of the plan, and For is
+	// its duration.
 	At, For time.Duration
-	// Kind says what happens.
+	// Kind is the kind of fault.
 	Kind Kind
-	// Place is the link of a fault of links.
+	// Place is the link concerned, if Kind is a fault of links.
 	Place Place
-	// Target is the number of the gateway or server concerned.
+	// Target is the index of the gateway or server concerned.
 	Target int
 }
 
-// End returns when the step ends, from the start.
+// End returns when the fault ends, relative to the start of the plan.
 func (s Step) End() time.Duration {
 	return s.At + s.For
 }
 
-// String returns the step as one short line.
+// String returns a one-line description.
 func (s Step) String() string {
 	name := s.Kind.String()
 	if s.Kind.OnLink() {
@@ -146,46 +150,47 @@
 	return fmt.Sprintf("%v+%v %s %d", s.At, s.For, name, s.Target)
 }
 
-// OnLink reports whether faults of this kind concern a link.
+// OnLink reports whether k is a fault of links.
 func (k Kind) OnLink() bool {
 	return k >= LinkDelayed && k <= LinkRefused
 }
 
-// OnServer reports whether faults of this kind concern a server process.
+// OnServer reports whether k is a fault of server processes.
 func (k Kind) OnServer() bool {
 	return k >= ServerKilled && k <= ServerMisreporting
 }
 
-// OnStore reports whether faults of this kind concern the store.
+// OnStore reports whether k is a fault of the store.
 func (k Kind) OnStore() bool {
 	return k >= StoreDown && k <= StoreFrozen
 }
 
-// Plan is a list of faults, in the order in which they begin. They overlap.
+// Plan is a fault schedule. Its steps are sorted by At and may overlap.
 type Plan struct {
 	Seed  uint64
 	Steps []Step
 }
 
-// NewPlan draws a plan. The same configuration and seed give the same plan.
+// NewPlan generates a random plan. Equal configurations and seeds give equal
+// plans.
 func NewPlan(cfg Config, seed uint64) Plan {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	plan := Plan{Seed: seed}
-	for at := drawPause(rng); at < cfg.Length; at += drawPause(rng) {
+	for at := drawInterval(rng); at < cfg.Length; at += drawInterval(rng) {
 		plan.Steps = append(plan.Steps, drawSeries(cfg, rng, at)...)
 	}
 	slices.SortStableFunc(plan.Steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	return plan
 }
 
-func drawPause(rng *rand.Rand) time.Duration {
-	return time.Duration(rng.ExpFloat64() * float64(meanPause))
+func drawInterval(rng *rand.Rand) time.Duration {
+	return time.Duration(rng.ExpFloat64() * float64(meanInterval))
 }
 
-// drawSeries draws one fault, or several of one kind at one target.
+// drawSeries draws one fault, or a series of faults of one kind at one target.
 func drawSeries(cfg Config, rng *rand.Rand, at time.Duration) []Step {
-	step := Step{Kind: Kind(rng.IntN(kinds)), Place: Place(rng.IntN(places))}
-	step.Target = rng.IntN(step.targets(cfg))
+	step := Step{Kind: Kind(rng.IntN(kindCount)), Place: Place(rng.IntN(placeCount))}
+	step.Target = rng.IntN(step.targetCount(cfg))
 	n := 1
 	if rng.Float64() < seriesShare {
 		n += 1 + rng.IntN(maxSeries-1)
@@ -193,19 +198,19 @@
 	var steps []Step
 	for range n {
 		step.At = at
-		step.For = minFault + time.Duration(rng.Float64()*rng.Float64()*float64(maxFault-minFault))
+		step.For = minDuration + time.Duration(rng.Float64()*rng.Float64()*float64(maxDuration-minDuration))
 		step.For = min(step.For, cfg.Length-at)
 		if step.For <= 0 {
 			break
 		}
 		steps = append(steps, step)
-		at = step.End() + time.Duration(rng.Float64()*float64(maxGap))
+		at = step.End() + time.Duration(rng.Float64()*float64(maxSeriesGap))
 	}
 	return steps
 }
 
-// targets returns how many targets a step can choose from.
-func (s Step) targets(cfg Config) int {
+// targetCount returns the number of possible targets of the step.
+func (s Step) targetCount(cfg Config) int {
 	if s.Kind.OnServer() || s.Kind.OnLink() && s.Place == Servers {
 		return cfg.Servers
 	}
--- a/internal/standin/soak/plan_test.go
+++ b/internal/standin/soak/plan_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestPlan(t *testing.T) {
-	convey.Convey("Given plans of many seeds", t, func() {
+	convey.Convey("Given plans from many seeds", t, func() {
 		cfg := soak.Config{Length: 10 * time.Second, Gateways: 3, Servers: 5}
 		kinds := make(map[soak.Kind]bool)
 		places := make(map[soak.Place]bool)
@@ -31,7 +31,7 @@
 				}
 			}
 		}
-		convey.Convey("Every kind and place comes, and faults overlap", func() {
+		convey.Convey("Every kind and place occurs, and faults overlap", func() {
 			for k := soak.GatewayKilled; k <= soak.RulesChanged; k++ {
 				convey.So(kinds[k], convey.ShouldBeTrue)
 			}
