--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -24,7 +24,9 @@
 // Fault is the set of faults injected into the connections of a relay. The zero
 // value injects none.
 type Fault struct {
-	// Delay is added to the data in each direction.
+	// Delay is how long each chunk of data is held before it is forwarded, in
+	// each direction. The chunks of one direction are delayed one after another,
+	// so a delay also limits the throughput.
 	Delay time.Duration
 	// HoldUp holds data from callers until the fault is cleared, and HoldDown
 	// data from the target. No data is lost, as on a network that fails for a
