--- a/internal/standin/command/model.go
+++ b/internal/standin/command/model.go
@@ -67,10 +67,10 @@
 func (c *modelCommand) list() error {
 	var b strings.Builder
 	for _, p := range model.Patterns() {
-		fmt.Fprintf(&b, "pattern %-16s %s\n", p.Name, p.About)
+		fmt.Fprintf(&b, "pattern %-16s %s\n", p.Name, p.Description)
 	}
 	for _, p := range model.Policies() {
-		fmt.Fprintf(&b, "policy  %-16s %s\n", p.Name, p.About)
+		fmt.Fprintf(&b, "policy  %-16s %s\n", p.Name, p.Description)
 	}
 	_, err := io.WriteString(c.env.cfg.Out, b.String())
 	return err
--- a/internal/standin/model/gateway.go
+++ b/internal/standin/model/gateway.go
@@ -12,103 +12,106 @@
 )
 
 const (
-	// minRetryAfter is the shortest time after which a refused caller comes back.
+	// minRetryAfter is the shortest delay before a refused caller retries.
 	minRetryAfter = 50 * time.Millisecond
-	// maxWaiting bounds the calls that wait in a gateway.
+	// maxWaiting limits the calls queued in a gateway.
 	maxWaiting = 64
-	// maxAttempts bounds the attempts of a call.
+	// maxAttempts limits the attempts of a call.
 	maxAttempts = 3
-	// retryWindow is the time over which retries are counted against the calls,
-	// retryShare the share of calls, and retrySlack what the fleet may send beyond.
+	// The retry budget: within retryWindow, retries may make up retryShare of the
+	// calls, plus retrySlack for all gateways together.
 	retryWindow = 10 * time.Second
 	retryShare  = 0.2
 	retrySlack  = 60.0
 )
 
-// answer is the final answer of one try of a caller.
-type answer struct {
+// response is the response of a gateway to a call.
+type response struct {
 	end        End
 	retryAfter time.Duration
 }
 
-// gateway is one gateway: the product's cores, and the events between them.
+// gateway is a simulated gateway: it runs the load balancer's own decision logic
+// and simulates the I/O around it with scheduled events.
 type gateway struct {
-	w         *world
-	zone      string
-	rng       *rand.Rand
-	chooser   mustardsaddle.Chooser
-	queue     *slot.Queue
-	budgets   booking.Budgets
-	questions *survey.Questions
-	waiting   map[uint64]*call
-	last      uint64
-	polling   bool
+	sim         *simulation
+	zone        string
+	rng         *rand.Rand
+	chooser     mustardsaddle.Chooser
+	queue       *slot.Queue
+	budgets     booking.Budgets
+	queryBudget *survey.Questions
+	waiting     map[uint64]*call
+	lastID      uint64
+	polling     bool
 }
 
-func newGateway(w *world, vm mustardsaddle.VM, fleet []mustardsaddle.VM, servers []mustardsaddle.Server, seed uint64) *gateway {
+func newGateway(sim *simulation, vm mustardsaddle.VM, fleet []mustardsaddle.VM, servers []mustardsaddle.Server, seed uint64) *gateway {
 	n := float64(len(fleet))
 	g := &gateway{
-		w: w, zone: vm.Zone, rng: rand.New(rand.NewPCG(w.cfg.Seed, 1000+seed)),
-		chooser:   w.cfg.Policy.New(),
-		queue:     slot.New(slot.Config{MaxWaiting: maxWaiting, MinRetryAfter: minRetryAfter}),
-		questions: survey.NewQuestions(w.cfg.Policy.Ask),
-		waiting:   make(map[uint64]*call),
+		sim: sim, zone: vm.Zone, rng: rand.New(rand.NewPCG(sim.cfg.Seed, 1000+seed)),
+		chooser:     sim.cfg.Policy.NewChooser(),
+		queue:       slot.New(slot.Config{MaxWaiting: maxWaiting, MinRetryAfter: minRetryAfter}),
+		queryBudget: survey.NewQuestions(sim.cfg.Policy.MaxQueries),
+		waiting:     make(map[uint64]*call),
 		budgets: booking.Budgets{
 			Window: booking.NewWindow(retryWindow),
 			Bounds: booking.Bounds{Share: retryShare, Slack: retrySlack / n},
 		},
 	}
-	g.questions.SetRate(start, survey.Rate(w.cfg.Pattern.QuestionsPerServer, len(servers), len(fleet)))
-	g.chooser.SetServers(start, servers)
+	g.queryBudget.SetRate(epoch, survey.Rate(sim.cfg.Pattern.MaxQueryRate, len(servers), len(fleet)))
+	g.chooser.SetServers(epoch, servers)
 	if f, ok := g.chooser.(mustardsaddle.FleetSetter); ok {
-		f.SetFleet(start, vm.Name, fleet)
+		f.SetFleet(epoch, vm.Name, fleet)
 	}
 	return g
 }
 
-// call is one try of a caller at a gateway.
+// call is a call from a caller to a gateway. A retry by the caller is a new call.
 type call struct {
-	g        *gateway
-	r        *request
+	gateway  *gateway
+	request  *request
 	id       uint64
 	began    time.Time
 	deadline time.Time
 	state    booking.Call
 	tried    []string
-	over     bool
-	// drop takes the open attempt out of its server; nil if none is open.
-	drop func()
+	done     bool
+	// cancelAttempt cancels the outstanding attempt; nil if there is none.
+	cancelAttempt func()
 }
 
-// serve takes a call.
+// serve starts a call for a request.
 func (g *gateway) serve(r *request) {
-	g.last++
-	c := &call{g: g, r: r, id: g.last, began: g.w.loop.now, deadline: g.w.loop.now.Add(r.kind.Deadline)}
+	g.lastID++
+	c := &call{gateway: g, request: r, id: g.lastID, began: g.sim.loop.now, deadline: g.sim.loop.now.Add(r.class.Deadline)}
 	repeat := mustardsaddle.RepeatNo
-	if r.kind.Idempotent {
+	if r.class.Idempotent {
 		repeat = mustardsaddle.RepeatYes
 	}
 	c.state = booking.New(booking.Config{Repeat: repeat, Deadline: c.deadline, MaxAttempts: maxAttempts})
-	g.w.loop.at(c.deadline, func() { c.end(TimedOut) })
-	c.place()
+	g.sim.loop.schedule(c.deadline, func() { c.finish(TimedOut) })
+	c.startAttempt()
 }
 
-// place asks for one more attempt: some servers are asked, then one is chosen.
-func (c *call) place() {
-	kind, ok := c.state.Begin(c.g.w.loop.now, &c.g.budgets)
+// startAttempt starts another attempt if the call and the retry budget permit it:
+// it queries the load of some servers, then tries to place the attempt on one.
+func (c *call) startAttempt() {
+	kind, ok := c.state.Begin(c.gateway.sim.loop.now, &c.gateway.budgets)
 	if !ok {
-		c.end(Failed)
+		c.finish(Failed)
 		return
 	}
-	c.g.ask(c.tried, func(blind bool) { c.admit(kind, blind) })
+	c.gateway.queryLoads(c.tried, func(blind bool) { c.admit(kind, blind) })
 }
 
-// admit sends the call to a server, lets it wait for one, or refuses it.
+// admit sends the attempt to a server, queues the call, or refuses it. A first
+// attempt does not overtake calls in the queue.
 func (c *call) admit(kind booking.Kind, blind bool) {
-	if c.over {
+	if c.done {
 		return
 	}
-	g, now := c.g, c.g.w.loop.now
+	g, now := c.gateway, c.gateway.sim.loop.now
 	if kind != booking.First || g.queue.Len() == 0 {
 		if choice, ok := g.choose(c.tried, blind); ok {
 			c.send(choice.Server)
@@ -118,55 +121,57 @@
 	verdict := g.queue.Join(now, c.ticket())
 	if !verdict.Waits {
 		c.state.End(mustardsaddle.NotRun)
-		c.end(Refused)
+		c.finish(Refused)
 		return
 	}
 	g.waiting[c.id] = c
-	g.w.loop.at(verdict.Until, g.expire)
+	g.sim.loop.schedule(verdict.Until, g.refuseExpired)
 	g.poll()
 }
 
-// ticket returns what the call has to say in the queue.
+// ticket returns the queue entry of the call.
 func (c *call) ticket() slot.Ticket {
-	k := c.r.kind
+	class := c.request.class
 	return slot.Ticket{
-		ID: c.id, Deadline: c.deadline, Target: c.began.Add(k.Target), Priority: k.Priority,
-		Patience: k.Target / time.Duration(c.g.w.cfg.Policy.patience()),
+		ID: c.id, Deadline: c.deadline, Target: c.began.Add(class.Target), Priority: class.Priority,
+		Patience: class.Target / time.Duration(c.gateway.sim.cfg.Policy.waitDivisor()),
 	}
 }
 
-// expire refuses the calls that have waited in vain.
-func (g *gateway) expire() {
-	for _, id := range g.queue.Expired(g.w.loop.now) {
+// refuseExpired refuses the queued calls whose maximum wait is over.
+func (g *gateway) refuseExpired() {
+	for _, id := range g.queue.Expired(g.sim.loop.now) {
 		c := g.waiting[id]
 		delete(g.waiting, id)
 		c.state.End(mustardsaddle.NotRun)
-		c.end(Refused)
+		c.finish(Refused)
 	}
 }
 
-// poll asks again for the first waiting call, as long as there is one.
+// poll periodically queries server loads for the call at the head of the queue and
+// dispatches queued calls, until the queue is empty.
 func (g *gateway) poll() {
 	if g.polling {
 		return
 	}
 	g.polling = true
-	g.w.loop.after(slot.PollInterval, func() {
+	g.sim.loop.scheduleAfter(slot.PollInterval, func() {
 		g.polling = false
-		id, ok := g.queue.First(g.w.loop.now)
+		id, ok := g.queue.First(g.sim.loop.now)
 		if !ok {
 			return
 		}
-		g.ask(g.waiting[id].tried, func(bool) { g.serveWaiting() })
+		g.queryLoads(g.waiting[id].tried, func(bool) { g.dispatchQueued() })
 		g.poll()
 	})
 }
 
-// serveWaiting gives servers to waiting calls, in order, while there are any.
-func (g *gateway) serveWaiting() {
-	g.expire()
+// dispatchQueued sends queued calls to servers, in queue order, until the chooser
+// has no server for the first one.
+func (g *gateway) dispatchQueued() {
+	g.refuseExpired()
 	for {
-		id, ok := g.queue.First(g.w.loop.now)
+		id, ok := g.queue.First(g.sim.loop.now)
 		if !ok {
 			return
 		}
@@ -181,87 +186,92 @@
 	}
 }
 
+// choose chooses a server that has not been tried. blind states that the query
+// budget allowed no load query for this attempt.
 func (g *gateway) choose(tried []string, blind bool) (mustardsaddle.Choice, bool) {
-	if g.w.cfg.Policy.Exact {
-		g.seeAll()
+	if g.sim.cfg.Policy.PerfectInformation {
+		g.observeAll()
 	}
-	return g.chooser.Choose(g.w.loop.now, g.rng, mustardsaddle.Need{Exclude: tried, Zone: g.zone, Blind: blind})
+	return g.chooser.Choose(g.sim.loop.now, g.rng, mustardsaddle.Need{Exclude: tried, Zone: g.zone, Blind: blind})
 }
 
-// seeAll lets the chooser know the true state of all servers.
-func (g *gateway) seeAll() {
-	for _, s := range g.w.servers {
-		if !s.dark && !s.shedding && s.failing == 0 {
+// observeAll gives the chooser the current load of every healthy server, including
+// the requests in transit to it.
+func (g *gateway) observeAll() {
+	for _, s := range g.sim.servers {
+		if !s.unresponsive && !s.shedding && s.failureRate == 0 {
 			rep := s.report()
-			rep.InFlight += s.coming
-			g.chooser.Observe(g.w.loop.now, s.name, rep)
+			rep.InFlight += s.inTransit
+			g.chooser.Observe(g.sim.loop.now, s.name, rep)
 		}
 	}
 }
 
-// delay is the time that a message needs to a server, one way.
+// delay returns the one-way network delay to a server.
 func (g *gateway) delay(s *server) time.Duration {
 	if s.zone == g.zone {
-		return g.w.cfg.Pattern.Network.Zone
+		return g.sim.cfg.Pattern.Network.WithinZone
 	}
-	return g.w.cfg.Pattern.Network.Across
+	return g.sim.cfg.Pattern.Network.CrossZone
 }
 
-// ask lets the chooser ask servers, and goes on when all have answered or the
-// patience is over.
-func (g *gateway) ask(tried []string, done func(blind bool)) {
+// queryLoads queries the load of the servers that the chooser selects, within the
+// query budget. It calls done once all have replied or survey.AnswerPatience has
+// passed; blind is true if the budget allowed no query.
+func (g *gateway) queryLoads(tried []string, done func(blind bool)) {
 	surveyor, ok := g.chooser.(mustardsaddle.Surveyor)
-	if !ok || g.w.cfg.Policy.Exact {
+	if !ok || g.sim.cfg.Policy.PerfectInformation {
 		done(false)
 		return
 	}
-	now := g.w.loop.now
+	now := g.sim.loop.now
 	blind := false
-	servers := surveyor.Ask(now, g.rng, mustardsaddle.Need{Exclude: tried, Zone: g.zone}, g.questions.Next(now))
+	servers := surveyor.Ask(now, g.rng, mustardsaddle.Need{Exclude: tried, Zone: g.zone}, g.queryBudget.Next(now))
 	for i := range servers {
-		if !g.questions.Take(now) {
+		if !g.queryBudget.Take(now) {
 			surveyor.Unasked(servers[i:])
 			blind = i == 0
 			servers = servers[:i]
 			break
 		}
 	}
-	g.w.result.Questions += len(servers)
-	left, over := len(servers), false
-	settle := func() {
-		if !over {
-			over = true
+	g.sim.result.Questions += len(servers)
+	pending, finished := len(servers), false
+	finish := func() {
+		if !finished {
+			finished = true
 			done(blind)
 		}
 	}
-	if left == 0 {
-		settle()
+	if pending == 0 {
+		finish()
 		return
 	}
-	g.w.loop.after(survey.AnswerPatience, settle)
+	g.sim.loop.scheduleAfter(survey.AnswerPatience, finish)
 	for _, known := range servers {
-		g.askOne(surveyor, g.w.byName[known.Name], func() {
-			left--
-			if left == 0 {
-				settle()
+		g.queryServer(surveyor, g.sim.byName[known.Name], func() {
+			pending--
+			if pending == 0 {
+				finish()
 			}
 		})
 	}
 }
 
-// askOne asks one server. A dark one does not answer.
-func (g *gateway) askOne(surveyor mustardsaddle.Surveyor, s *server, done func()) {
+// queryServer queries the load of one server and calls done with its reply. An
+// unresponsive server does not reply, and the query times out.
+func (g *gateway) queryServer(surveyor mustardsaddle.Surveyor, s *server, done func()) {
 	delay := g.delay(s)
-	g.w.loop.after(delay, func() {
-		if s.dark {
-			g.w.loop.after(survey.AnswerPatience, func() { surveyor.Asked(g.w.loop.now, s.name, mustardsaddle.NoReply) })
+	g.sim.loop.scheduleAfter(delay, func() {
+		if s.unresponsive {
+			g.sim.loop.scheduleAfter(survey.AnswerPatience, func() { surveyor.Asked(g.sim.loop.now, s.name, mustardsaddle.NoReply) })
 			return
 		}
 		rep := s.report()
-		g.w.loop.after(delay, func() {
-			surveyor.Asked(g.w.loop.now, s.name, mustardsaddle.OwnReply)
-			rep.At = g.w.loop.now
-			g.chooser.Observe(g.w.loop.now, s.name, rep)
+		g.sim.loop.scheduleAfter(delay, func() {
+			surveyor.Asked(g.sim.loop.now, s.name, mustardsaddle.OwnReply)
+			rep.At = g.sim.loop.now
+			g.chooser.Observe(g.sim.loop.now, s.name, rep)
 			done()
 		})
 	})
@@ -269,80 +279,83 @@
 
 // send sends an attempt to a server.
 func (c *call) send(known mustardsaddle.Server) {
-	g := c.g
-	s := g.w.byName[known.Name]
-	delay, sent := g.delay(s), g.w.loop.now
+	g := c.gateway
+	s := g.sim.byName[known.Name]
+	delay, sent := g.delay(s), g.sim.loop.now
 	c.tried = append(slices.Clip(c.tried), s.name)
-	g.w.result.Attempts++
-	open := true
-	j := &job{left: c.r.work}
-	j.answer = func(a reply) {
-		g.w.loop.after(delay, func() {
-			if open {
-				open = false
-				c.drop = nil
-				c.ended(s, a, g.w.loop.now.Sub(sent))
+	g.sim.result.Attempts++
+	outstanding := true
+	j := &job{remaining: c.request.work}
+	j.respond = func(r reply) {
+		g.sim.loop.scheduleAfter(delay, func() {
+			if outstanding {
+				outstanding = false
+				c.cancelAttempt = nil
+				c.handleReply(s, r, g.sim.loop.now.Sub(sent))
 			}
 		})
 	}
-	c.drop = func() {
-		open = false
-		g.w.loop.after(delay, func() { s.drop(j) })
-		g.finish(mustardsaddle.Result{Server: s.name, Failed: true, Latency: g.w.loop.now.Sub(sent)})
+	c.cancelAttempt = func() {
+		outstanding = false
+		g.sim.loop.scheduleAfter(delay, func() { s.cancel(j) })
+		g.finishAttempt(mustardsaddle.Result{Server: s.name, Failed: true, Latency: g.sim.loop.now.Sub(sent)})
 	}
-	s.coming++
-	g.w.loop.after(delay, func() {
-		s.coming--
-		s.take(j)
+	s.inTransit++
+	g.sim.loop.scheduleAfter(delay, func() {
+		s.inTransit--
+		s.accept(j)
 	})
 }
 
-// ended takes the answer of an attempt, and sends another one if that is permitted.
-func (c *call) ended(s *server, a reply, latency time.Duration) {
-	g, now := c.g, c.g.w.loop.now
-	c.state.End(a.outcome)
-	if a.report.Slots > 0 {
-		a.report.At = now
-		g.chooser.Observe(now, s.name, a.report)
+// handleReply processes the reply to an attempt. If the request has run, it finishes the
+// call; otherwise it starts another attempt if that is permitted.
+func (c *call) handleReply(s *server, r reply, latency time.Duration) {
+	g, now := c.gateway, c.gateway.sim.loop.now
+	c.state.End(r.outcome)
+	if r.report.Slots > 0 {
+		r.report.At = now
+		g.chooser.Observe(now, s.name, r.report)
 	}
-	g.finish(mustardsaddle.Result{
-		Server: s.name, Outcome: a.outcome, Shed: a.shed, Failed: a.failed, Latency: latency,
+	g.finishAttempt(mustardsaddle.Result{
+		Server: s.name, Outcome: r.outcome, Shed: r.shed, Failed: r.failed, Latency: latency,
 	})
 	switch {
-	case a.outcome == mustardsaddle.Ran && !a.failed:
-		c.end(Served)
-	case a.outcome == mustardsaddle.Ran:
-		c.end(Failed)
+	case r.outcome == mustardsaddle.Ran && !r.failed:
+		c.finish(Served)
+	case r.outcome == mustardsaddle.Ran:
+		c.finish(Failed)
 	default:
-		c.place()
+		c.startAttempt()
 	}
 }
 
-// finish tells that an attempt ended, and passes its place on.
-func (g *gateway) finish(r mustardsaddle.Result) {
-	g.chooser.Finish(g.w.loop.now, r)
+// finishAttempt reports the result of an attempt to the chooser and the queue, then
+// dispatches queued calls.
+func (g *gateway) finishAttempt(r mustardsaddle.Result) {
+	g.chooser.Finish(g.sim.loop.now, r)
 	latency := r.Latency
 	if r.Outcome != mustardsaddle.Ran {
 		latency = 0
 	}
-	g.queue.Released(g.w.loop.now, latency)
-	g.serveWaiting()
+	g.queue.Released(g.sim.loop.now, latency)
+	g.dispatchQueued()
 }
 
-// end gives the caller its final answer.
-func (c *call) end(how End) {
-	if c.over {
+// finish ends the call, cancels its outstanding attempt, and responds to the caller. It
+// has no effect on a call that has already ended.
+func (c *call) finish(end End) {
+	if c.done {
 		return
 	}
-	c.over = true
-	if how == Failed && c.state.Outcome() == mustardsaddle.NotRun {
-		how = Refused
+	c.done = true
+	if end == Failed && c.state.Outcome() == mustardsaddle.NotRun {
+		end = Refused
 	}
-	if c.g.queue.Leave(c.id) {
-		delete(c.g.waiting, c.id)
+	if c.gateway.queue.Leave(c.id) {
+		delete(c.gateway.waiting, c.id)
 	}
-	if c.drop != nil {
-		c.drop()
+	if c.cancelAttempt != nil {
+		c.cancelAttempt()
 	}
-	c.g.w.answered(c.r, answer{end: how, retryAfter: c.g.queue.RetryAfter()})
+	c.gateway.sim.handleResponse(c.request, response{end: end, retryAfter: c.gateway.queue.RetryAfter()})
 }
--- a/internal/standin/model/loop.go
+++ b/internal/standin/model/loop.go
@@ -5,79 +5,80 @@
 	"time"
 )
 
-// loop runs events in the order of their times, and those of one time in the order
-// in which they were planned.
-type loop struct {
-	now    time.Time
-	events events
-	last   int
+// eventLoop is the event loop of a discrete-event simulation. It runs events in order
+// of time; events with the same time run in the order in which they were scheduled.
+type eventLoop struct {
+	now     time.Time
+	events  eventHeap
+	lastSeq int
 }
 
-// planned is an event and the time at which it happens.
-type planned struct {
-	at    time.Time
-	order int
-	do    func()
+// event is a function scheduled to run at a simulated time.
+type event struct {
+	at  time.Time
+	seq int
+	run func()
 }
 
-// at plans an event. One that is planned for the past happens now.
-func (l *loop) at(t time.Time, do func()) {
-	if t.Before(l.now) {
-		t = l.now
+// schedule schedules an event. A time in the past is taken as the current time.
+func (l *eventLoop) schedule(at time.Time, run func()) {
+	if at.Before(l.now) {
+		at = l.now
 	}
-	l.last++
-	heap.Push(&l.events, planned{at: t, order: l.last, do: do})
+	l.lastSeq++
+	heap.Push(&l.events, event{at: at, seq: l.lastSeq, run: run})
 }
 
-// after plans an event for some time from now.
-func (l *loop) after(d time.Duration, do func()) {
-	l.at(l.now.Add(d), do)
+// scheduleAfter schedules an event a duration after the current simulated time.
+func (l *eventLoop) scheduleAfter(d time.Duration, run func()) {
+	l.schedule(l.now.Add(d), run)
 }
 
-// run runs all events up to the given time.
-func (l *loop) run(until time.Time) {
-	for len(l.events) > 0 && !l.events[0].at.After(until) {
-		next, ok := heap.Pop(&l.events).(planned)
+// runUntil runs all events up to and including the given time, and advances the clock
+// to it.
+func (l *eventLoop) runUntil(end time.Time) {
+	for len(l.events) > 0 && !l.events[0].at.After(end) {
+		next, ok := heap.Pop(&l.events).(event)
 		if !ok {
 			return
 		}
 		l.now = next.at
-		next.do()
+		next.run()
 	}
-	l.now = until
+	l.now = end
 }
 
-// events is a heap of planned events.
-type events []planned
+// eventHeap is a min-heap of scheduled events.
+type eventHeap []event
 
-var _ heap.Interface = (*events)(nil)
+var _ heap.Interface = (*eventHeap)(nil)
 
-// Len returns the number of events.
-func (e *events) Len() int { return len(*e) }
+// Len implements heap.Interface.
+func (h *eventHeap) Len() int { return len(*h) }
 
-// Less orders events by time, then by the order of planning.
-func (e *events) Less(i, j int) bool {
-	a, b := (*e)[i], (*e)[j]
+// Less orders events by time, then by sequence number.
+func (h *eventHeap) Less(i, j int) bool {
+	a, b := (*h)[i], (*h)[j]
 	if !a.at.Equal(b.at) {
 		return a.at.Before(b.at)
 	}
-	return a.order < b.order
+	return a.seq < b.seq
 }
 
-// Swap exchanges two events.
-func (e *events) Swap(i, j int) { (*e)[i], (*e)[j] = (*e)[j], (*e)[i] }
+// Swap implements heap.Interface.
+func (h *eventHeap) Swap(i, j int) { (*h)[i], (*h)[j] = (*h)[j], (*h)[i] }
 
-// Push adds an event at the end.
-func (e *events) Push(x any) {
-	if p, ok := x.(planned); ok {
-		*e = append(*e, p)
+// Push appends an event; use heap.Push instead.
+func (h *eventHeap) Push(x any) {
+	if e, ok := x.(event); ok {
+		*h = append(*h, e)
 	}
 }
 
-// Pop removes the event at the end.
-func (e *events) Pop() any {
-	old := *e
+// Pop removes the last event; use heap.Pop instead.
+func (h *eventHeap) Pop() any {
+	old := *h
 	last := old[len(old)-1]
-	*e = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return last
 }
--- a/internal/standin/model/model.go
+++ b/internal/standin/model/model.go
@@ -1,20 +1,21 @@
-// Package model simulates the systems that gateways serve: endpoint servers whose
-// speed changes many times a second, callers that come back after a refusal, and
-// troubles of both. The gateways in it decide by the product's own cores: a chooser,
-// the queue of calls, the state of a call and its budgets. Nothing is sent, no clock
-// is read, and equal seeds give equal runs, so that policies can be compared side by
-// side in a second, and each load pattern can be a test.
+// Package model is a discrete-event simulation of the systems that gateways serve:
+// endpoint servers whose speed changes many times a second, callers that retry after
+// a refusal, server faults and traffic bursts. The simulated gateways run the load
+// balancer's own decision logic: a chooser, the queue of calls, the state of a call and
+// its budgets. The simulation performs no I/O and reads no clock, and equal seeds give
+// equal runs. Policies can therefore be compared side by side within a second, and each
+// load pattern can serve as a test.
 //
 // # Usage
 //
 //	result := model.Run(model.Config{Pattern: pattern, Policy: policy, Seed: 1})
 //	fmt.Println(result.Worth())
 //
-// # What is left out
+// # Limitations
 //
-// Connections, their cost and their loss; the gateways' own time and their failures;
-// the store and the links: every gateway knows all servers all the time. Bytes cost
-// nothing.
+// The following is not simulated: connections, their cost and their loss; processing
+// time and failures of gateways; the object store and the links between gateways, so
+// that every gateway always knows all servers; and bandwidth.
 package model
 
 import (
@@ -25,66 +26,71 @@
 	"mustardsaddle.example/mustardsaddle"
 )
 
-// start is when all runs begin.
-var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC) //nolint:gochecknoglobals // a constant
+// epoch is the simulated time at which every run starts.
+var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC) //nolint:gochecknoglobals // a constant
 
-// zones is the number of availability zones over which gateways and servers spread.
+// zones is the number of availability zones across which gateways and servers are
+// spread.
 const zones = 3
 
-// maxTail bounds the time after the last new request in which callers come back.
-const maxTail = 10 * time.Minute
+// maxDrain limits the simulated time after the last arrival in which callers retry and
+// outstanding requests end.
+const maxDrain = 10 * time.Minute
 
-// Kind is a kind of request.
-type Kind struct {
-	// Name names the kind in reports.
+// RequestClass describes requests of the same cost, importance and time limits.
+type RequestClass struct {
+	// Name identifies the class.
 	Name string
-	// PerSecond is the usual rate of new requests.
-	PerSecond float64
-	// Work is the mean time of an undisturbed request, and Spread the standard
-	// deviation as a share of it.
-	Work   time.Duration
-	Spread float64
-	// Target is when an answer is worth less, Deadline when it is worth nothing.
+	// Rate is the base arrival rate of new requests, per second.
+	Rate float64
+	// Work is the mean service time of a request on a server at nominal speed, and
+	// Deviation its standard deviation relative to the mean.
+	Work      time.Duration
+	Deviation float64
+	// Target is the latency of a request, retries included, above which a response
+	// has only LateValue. Deadline is the time limit of each call.
 	Target   time.Duration
 	Deadline time.Duration
-	// Worth is what an answer in time earns, Late what a later one earns.
-	Worth float64
-	Late  float64
-	// Priority is the rank of the kind, of which 0 is the highest.
+	// Value is the value of a response within Target, LateValue that of a later one.
+	Value     float64
+	LateValue float64
+	// Priority is the priority of the class; 0 is the highest.
 	Priority int
-	// Idempotent requests may be sent again.
+	// Idempotent states that a request may be sent again after it may have run.
 	Idempotent bool
 }
 
-// Callers describes who calls.
+// Callers describes the workload.
 type Callers struct {
-	// Kinds are the kinds of requests.
-	Kinds []Kind
-	// Retries is how often a caller comes back after a refusal or a failure.
+	// Classes are the classes of requests.
+	Classes []RequestClass
+	// Retries is how many times a caller retries a request that was not served.
 	Retries int
 }
 
-// Network describes the delays, one way.
+// Network describes the one-way network delays.
 type Network struct {
-	// Zone is the delay inside an availability zone, Across between two.
-	Zone   time.Duration
-	Across time.Duration
+	// WithinZone is the delay inside an availability zone, CrossZone that between
+	// two zones.
+	WithinZone time.Duration
+	CrossZone  time.Duration
 }
 
 // Config configures a run.
 type Config struct {
-	// Pattern is what is served.
+	// Pattern is the simulated system and its load.
 	Pattern Pattern
-	// Policy is how the gateways decide.
+	// Policy is the load balancing policy of the gateways.
 	Policy Policy
-	// Seed seeds arrivals, work, noise and choices.
+	// Seed seeds the random generators of arrivals, service times, noisy neighbors
+	// and choices.
 	Seed uint64
 }
 
-// world is the state of one run.
-type world struct {
+// simulation is the state of one run.
+type simulation struct {
 	cfg      Config
-	loop     loop
+	loop     eventLoop
 	servers  []*server
 	byName   map[string]*server
 	gateways []*gateway
@@ -93,58 +99,58 @@
 	noise    *rand.Rand
 }
 
-// Run plays a pattern under a policy.
+// Run simulates a pattern under a policy.
 func Run(cfg Config) *Result {
-	w := &world{
+	sim := &simulation{
 		cfg:      cfg,
-		loop:     loop{now: start},
+		loop:     eventLoop{now: epoch},
 		byName:   make(map[string]*server),
 		result:   newResult(cfg),
 		arrivals: rand.New(rand.NewPCG(cfg.Seed, 1)),
 		noise:    rand.New(rand.NewPCG(cfg.Seed, 2)),
 	}
-	w.addServers()
-	w.addGateways()
-	w.stir()
-	for _, t := range cfg.Pattern.Troubles {
-		w.plan(t)
+	sim.addServers()
+	sim.addGateways()
+	sim.redrawNoise()
+	for _, f := range cfg.Pattern.Faults {
+		sim.scheduleFault(f)
 	}
-	for _, kind := range cfg.Pattern.Callers.Kinds {
-		w.nextArrival(kind)
+	for _, class := range cfg.Pattern.Callers.Classes {
+		sim.scheduleArrival(class)
 	}
-	end := start.Add(cfg.Pattern.Duration)
-	w.loop.run(end)
-	for w.result.Total() < w.result.Asked && w.loop.now.Sub(end) < maxTail {
-		w.loop.run(w.loop.now.Add(time.Second))
+	end := epoch.Add(cfg.Pattern.Duration)
+	sim.loop.runUntil(end)
+	for sim.result.Total() < sim.result.Asked && sim.loop.now.Sub(end) < maxDrain {
+		sim.loop.runUntil(sim.loop.now.Add(time.Second))
 	}
-	return w.result
+	return sim.result
 }
 
 func zoneOf(i int) string {
 	return fmt.Sprintf("zone-%d", i%zones)
 }
 
-func (w *world) addServers() {
-	cfg := w.cfg.Pattern.Servers
+func (sim *simulation) addServers() {
+	cfg := sim.cfg.Pattern.Servers
 	for i := range cfg.Count {
 		s := &server{
-			name: fmt.Sprintf("booking-%03d", i), zone: zoneOf(i), cfg: cfg, loop: &w.loop, advanced: start, slow: 1,
-			rng: rand.New(rand.NewPCG(w.cfg.Seed, uint64(100+i))),
+			name: fmt.Sprintf("booking-%03d", i), zone: zoneOf(i), cfg: cfg, loop: &sim.loop, lastAdvance: epoch, slowFactor: 1,
+			rng: rand.New(rand.NewPCG(sim.cfg.Seed, uint64(100+i))),
 		}
-		w.servers = append(w.servers, s)
-		w.byName[s.name] = s
+		sim.servers = append(sim.servers, s)
+		sim.byName[s.name] = s
 	}
 }
 
-func (w *world) addGateways() {
-	list := make([]mustardsaddle.Server, 0, len(w.servers))
-	for _, s := range w.servers {
+func (sim *simulation) addGateways() {
+	list := make([]mustardsaddle.Server, 0, len(sim.servers))
+	for _, s := range sim.servers {
 		list = append(list, mustardsaddle.Server{
 			Name: s.name, Incarnation: 1, Address: s.name, Service: "Booking", Zone: s.zone, Slots: s.cfg.Slots,
 		})
 	}
-	n := w.cfg.Pattern.Gateways
-	if w.cfg.Policy.Exact {
+	n := sim.cfg.Pattern.Gateways
+	if sim.cfg.Policy.PerfectInformation {
 		n = 1
 	}
 	var vms []mustardsaddle.VM
@@ -152,72 +158,74 @@
 		vms = append(vms, mustardsaddle.VM{Name: fmt.Sprintf("gateway-%03d", i), Incarnation: 1, Zone: zoneOf(i)})
 	}
 	for i, vm := range vms {
-		w.gateways = append(w.gateways, newGateway(w, vm, vms, list, uint64(i)))
+		sim.gateways = append(sim.gateways, newGateway(sim, vm, vms, list, uint64(i)))
 	}
 }
 
-// stir draws which servers have noisy neighbors, again and again.
-func (w *world) stir() {
-	for _, s := range w.servers {
-		noisy := w.noise.Float64() < s.cfg.NoiseShare
+// redrawNoise periodically draws at random which servers have noisy neighbors.
+func (sim *simulation) redrawNoise() {
+	for _, s := range sim.servers {
+		noisy := sim.noise.Float64() < s.cfg.NoiseShare
 		if noisy != s.noisy {
-			s.change(func() { s.noisy = noisy })
+			s.update(func() { s.noisy = noisy })
 		}
 	}
-	if every := w.cfg.Pattern.Servers.NoiseEvery; every > 0 {
-		w.loop.after(every, w.stir)
+	if interval := sim.cfg.Pattern.Servers.NoiseInterval; interval > 0 {
+		sim.loop.scheduleAfter(interval, sim.redrawNoise)
 	}
 }
 
-// nextArrival plans the next new request of a kind.
-func (w *world) nextArrival(kind Kind) {
-	rate := kind.PerSecond * w.cfg.Pattern.rate(w.loop.now.Sub(start))
-	wait := time.Duration(w.arrivals.ExpFloat64() / rate * float64(time.Second))
-	work := kind.draw(w.arrivals)
-	via := w.arrivals.Uint64()
-	w.loop.after(wait, func() {
-		if w.loop.now.Sub(start) >= w.cfg.Pattern.Duration {
+// scheduleArrival schedules the next new request of a class. Arrivals are a Poisson
+// process.
+func (sim *simulation) scheduleArrival(class RequestClass) {
+	rate := class.Rate * sim.cfg.Pattern.loadFactor(sim.loop.now.Sub(epoch))
+	wait := time.Duration(sim.arrivals.ExpFloat64() / rate * float64(time.Second))
+	work := class.drawWork(sim.arrivals)
+	route := sim.arrivals.Uint64()
+	sim.loop.scheduleAfter(wait, func() {
+		if sim.loop.now.Sub(epoch) >= sim.cfg.Pattern.Duration {
 			return
 		}
-		w.nextArrival(kind)
-		r := &request{kind: kind, work: work, first: w.loop.now, retries: w.cfg.Pattern.Callers.Retries, via: via}
-		w.result.asked(r)
-		w.send(r)
+		sim.scheduleArrival(class)
+		r := &request{class: class, work: work, arrived: sim.loop.now, retries: sim.cfg.Pattern.Callers.Retries, route: route}
+		sim.result.recordArrival(r)
+		sim.send(r)
 	})
 }
 
-// draw draws the work of one request.
-func (k Kind) draw(rng *rand.Rand) time.Duration {
-	factor := max(1+k.Spread*rng.NormFloat64(), minWork)
-	return time.Duration(float64(k.Work) * factor)
+// drawWork draws the service time of one request.
+func (c RequestClass) drawWork(rng *rand.Rand) time.Duration {
+	factor := max(1+c.Deviation*rng.NormFloat64(), minWork)
+	return time.Duration(float64(c.Work) * factor)
 }
 
-// minWork is the least work of a request as a share of the mean.
+// minWork is the minimum service time of a request relative to the mean of its class.
 const minWork = 0.2
 
-// request is what a caller wants, over all its tries.
+// request is a request of a caller, with all its retries.
 type request struct {
-	kind    Kind
+	class   RequestClass
 	work    time.Duration
-	first   time.Time
+	arrived time.Time
+	// retries is the number of retries left.
 	retries int
-	// via draws the gateway of each try.
-	via uint64
+	// route is a random number that determines the gateway of each call.
+	route uint64
 }
 
-// send lets the caller try once.
-func (w *world) send(r *request) {
-	g := w.gateways[r.via%uint64(len(w.gateways))]
-	r.via /= uint64(len(w.gateways))
+// send sends a request to a random gateway, as a new call.
+func (sim *simulation) send(r *request) {
+	g := sim.gateways[r.route%uint64(len(sim.gateways))]
+	r.route /= uint64(len(sim.gateways))
 	g.serve(r)
 }
 
-// answered takes the final answer of one try.
-func (w *world) answered(r *request, a answer) {
-	if a.end == Served || r.retries == 0 {
-		w.result.ended(r, a.end, w.loop.now)
+// handleResponse records the end of a request, or schedules a retry.
+func (sim *simulation) handleResponse(r *request, resp response) {
+	if resp.end == Served || r.retries == 0 {
+		sim.result.recordEnd(r, resp.end, sim.loop.now)
 		return
 	}
 	r.retries--
-	w.loop.after(a.retryAfter, func() { w.send(r) })
+	sim.loop.scheduleAfter(resp.retryAfter, func() { sim.send(r) })
 }
--- a/internal/standin/model/model_test.go
+++ b/internal/standin/model/model_test.go
@@ -11,52 +11,52 @@
 	"mustardsaddle.example/mustardsaddle/internal/standin/model"
 )
 
-// seeds is how many runs a mean is taken over.
-const seeds = 3
+// runsPerMean is the number of runs, with different seeds, that a mean is taken over.
+const runsPerMean = 3
 
-// outcome is the mean of some runs.
-type outcome struct {
+// means holds the mean results of several runs.
+type means struct {
 	worth, worst, credit, served float64
 }
 
-// play returns the mean outcome of a pattern under a policy.
-func play(t *testing.T, pattern, policy string) outcome {
+// runMeans returns the mean results of a pattern under a policy.
+func runMeans(t *testing.T, pattern, policy string) means {
 	t.Helper()
-	var mean outcome
-	for seed := range uint64(seeds) {
-		r := model.Run(model.Config{Pattern: patternOf(t, pattern), Policy: policyOf(t, policy), Seed: seed + 1})
-		mean.worth += r.Worth() / seeds
-		mean.worst += r.Worst() / seeds
-		mean.credit += r.Credit() / seeds
-		mean.served += r.ServedShare() / seeds
+	var mean means
+	for seed := range uint64(runsPerMean) {
+		r := model.Run(model.Config{Pattern: patternByName(t, pattern), Policy: policyByName(t, policy), Seed: seed + 1})
+		mean.worth += r.Worth() / runsPerMean
+		mean.worst += r.Worst() / runsPerMean
+		mean.credit += r.Credit() / runsPerMean
+		mean.served += r.ServedShare() / runsPerMean
 	}
 	return mean
 }
 
-func patternOf(t *testing.T, name string) model.Pattern {
+func patternByName(t *testing.T, name string) model.Pattern {
 	t.Helper()
-	return named(t, model.Patterns(), func(p model.Pattern) string { return p.Name }, name)
+	return byName(t, model.Patterns(), func(p model.Pattern) string { return p.Name }, name)
 }
 
-func policyOf(t *testing.T, name string) model.Policy {
+func policyByName(t *testing.T, name string) model.Policy {
 	t.Helper()
-	return named(t, model.Policies(), func(p model.Policy) string { return p.Name }, name)
+	return byName(t, model.Policies(), func(p model.Policy) string { return p.Name }, name)
 }
 
-// named returns the item of the given name.
-func named[T any](t *testing.T, all []T, nameOf func(T) string, name string) T {
+// byName returns the item with the given name.
+func byName[T any](t *testing.T, items []T, nameOf func(T) string, name string) T {
 	t.Helper()
-	at := slices.IndexFunc(all, func(item T) bool { return nameOf(item) == name })
-	if at < 0 {
-		t.Fatalf("got name %q, want a known one", name)
+	i := slices.IndexFunc(items, func(item T) bool { return nameOf(item) == name })
+	if i < 0 {
+		t.Fatalf("unknown name %q", name)
 	}
-	return all[at]
+	return items[i]
 }
 
 func TestEqualSeedsGiveEqualResults(t *testing.T) {
-	cfg := model.Config{Pattern: patternOf(t, "Surge"), Policy: policyOf(t, "Survey"), Seed: 7}
+	cfg := model.Config{Pattern: patternByName(t, "Surge"), Policy: policyByName(t, "Survey"), Seed: 7}
 	if a, b := model.Run(cfg), model.Run(cfg); !reflect.DeepEqual(a, b) {
-		t.Errorf("got worth %v and %v from equal seeds", a.Worth(), b.Worth())
+		t.Errorf("results of two runs with the same seed differ: got worth %v and %v", a.Worth(), b.Worth())
 	}
 }
 
@@ -64,19 +64,19 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := rapid.SampledFrom(model.Patterns()).Draw(t, "Pattern")
 		p.Duration = 2 * time.Second
-		p.Troubles = append([]model.Trouble{}, p.Troubles...)
-		for i := range p.Troubles {
-			p.Troubles[i].At, p.Troubles[i].For = time.Second/2, time.Second
+		p.Faults = append([]model.Fault{}, p.Faults...)
+		for i := range p.Faults {
+			p.Faults[i].Start, p.Faults[i].Duration = time.Second/2, time.Second
 		}
 		p.Load = rapid.Float64Range(0.1, 3).Draw(t, "Load")
 		p.Gateways = rapid.IntRange(1, 20).Draw(t, "Gateways")
 		policy := rapid.SampledFrom(model.Policies()).Draw(t, "Policy")
 		r := model.Run(model.Config{Pattern: p, Policy: policy, Seed: rapid.Uint64().Draw(t, "Seed")})
 		if r.Total() != r.Asked {
-			t.Fatalf("%s with %s: got %d ends of %d requests", p.Name, policy.Name, r.Total(), r.Asked)
+			t.Fatalf("%s with %s: got %d outcomes of %d requests", p.Name, policy.Name, r.Total(), r.Asked)
 		}
 		if r.InTime > r.Requests[model.Served] {
-			t.Fatalf("%s with %s: got %d in time of %d served", p.Name, policy.Name, r.InTime, r.Requests[model.Served])
+			t.Fatalf("%s with %s: got %d requests in time, but only %d served", p.Name, policy.Name, r.InTime, r.Requests[model.Served])
 		}
 		if worth := r.Worth(); worth < 0 || worth > 1 {
 			t.Fatalf("%s with %s: got worth %v, want 0 to 1", p.Name, policy.Name, worth)
@@ -84,35 +84,36 @@
 	})
 }
 
-// The product's policy is worth at least a given part of what exact knowledge would
-// bring, in every pattern.
+// In every pattern, the load balancer's policy reaches a minimum share of the score
+// that perfect information about the servers would give.
 func TestNearExactKnowledge(t *testing.T) {
 	const (
-		// nearly is that part where servers can be asked.
-		nearly = 0.92
-		// rarely is that part where they may be asked once for each call.
-		rarely = 0.75
+		// minShare is that share with the usual limit on load queries.
+		minShare = 0.92
+		// minShareFewQueries is that share with a limit of about one query per call.
+		minShareFewQueries = 0.75
 	)
 	for _, p := range model.Patterns() {
 		t.Run(p.Name, func(t *testing.T) {
 			t.Parallel()
-			part := nearly
+			share := minShare
 			if p.Name == "FewQuestions" {
-				part = rarely
+				share = minShareFewQueries
 			}
-			got, exact := play(t, p.Name, "Survey"), play(t, p.Name, "Exact")
-			if got.worth < part*exact.worth {
-				t.Errorf("got worth %.3f, want at least %v of %.3f", got.worth, part, exact.worth)
+			got, exact := runMeans(t, p.Name, "Survey"), runMeans(t, p.Name, "Exact")
+			if got.worth < share*exact.worth {
+				t.Errorf("got worth %.3f, want at least %v of %.3f", got.worth, share, exact.worth)
 			}
 		})
 	}
 }
 
-// Each row names a load pattern, and what it showed when policies were compared.
+// Each row states that one policy scores higher than another in a load pattern, as the
+// comparison of policies showed.
 func TestPatternsRankPolicies(t *testing.T) {
 	for _, c := range []struct {
 		pattern, better, worse string
-		by                     func(outcome) float64
+		metric                 func(means) float64
 	}{
 		{"Calm", "Survey", "Survey4", worth},
 		{"Calm", "Survey4", "PreferredSpill", worth},
@@ -129,34 +130,35 @@
 		{"SlowServers", "Survey", "TwoChoices", worth},
 		{"Release", "Survey", "Survey4", worth},
 	} {
-		t.Run(c.pattern+" "+c.better+" before "+c.worse, func(t *testing.T) {
+		t.Run(c.pattern+" "+c.better+" above "+c.worse, func(t *testing.T) {
 			t.Parallel()
-			better, worse := c.by(play(t, c.pattern, c.better)), c.by(play(t, c.pattern, c.worse))
+			better, worse := c.metric(runMeans(t, c.pattern, c.better)), c.metric(runMeans(t, c.pattern, c.worse))
 			if better <= worse {
-				t.Errorf("got %.3f for %s and %.3f for %s, want the first above", better, c.better, worse, c.worse)
+				t.Errorf("got %.3f for %s and %.3f for %s, want a higher score for the first", better, c.better, worse, c.worse)
 			}
 		})
 	}
 }
 
-func worth(o outcome) float64 { return o.worth }
+func worth(m means) float64 { return m.worth }
 
-func worst(o outcome) float64 { return o.worst }
+func worst(m means) float64 { return m.worst }
 
-// Servers that shed every request while they answer questions leave the choice.
+// Servers that shed every request but reply to load queries with a low load must not
+// attract most of the requests.
 func TestSheddingServersLeaveTheChoice(t *testing.T) {
 	t.Parallel()
-	got := play(t, "SheddingServers", "Survey")
+	got := runMeans(t, "SheddingServers", "Survey")
 	if got.served < 0.9 {
-		t.Errorf("got %.3f served, want at least 0.9", got.served)
+		t.Errorf("got a served share of %.3f, want at least 0.9", got.served)
 	}
 }
 
-// Calls are not refused for want of questions.
+// An exhausted budget of load queries must not lead to refused calls.
 func TestFewQuestionsServe(t *testing.T) {
 	t.Parallel()
-	got := play(t, "FewQuestions", "Survey")
+	got := runMeans(t, "FewQuestions", "Survey")
 	if got.served < 0.9 {
-		t.Errorf("got %.3f served, want at least 0.9", got.served)
+		t.Errorf("got a served share of %.3f, want at least 0.9", got.served)
 	}
 }
--- a/internal/standin/model/pattern.go
+++ b/internal/standin/model/pattern.go
@@ -7,167 +7,173 @@
 
 //go:generate go tool -modfile=../../../tools/go.mod stringer -type=TroubleKind -output=troublekind_string.go
 
-// TroubleKind is a kind of trouble.
+// TroubleKind is a kind of fault.
 type TroubleKind int
 
 const (
-	// Burst multiplies arrivals by Factor.
+	// Burst multiplies the arrival rate of requests by Factor.
 	Burst TroubleKind = iota
-	// Slow makes work take Factor times as long on a share of the servers, which
-	// do not say so.
+	// Slow multiplies the service time of the affected servers by Factor. Their load
+	// reports do not show it.
 	Slow
-	// Dark makes a share of the servers accept requests and answer nothing; after
-	// it they start anew.
+	// Dark makes the affected servers unresponsive: they accept requests and never
+	// reply. At the end of the fault they restart.
 	Dark
-	// Failing makes a share of the servers fail Factor of their requests at once,
-	// while questions are answered.
+	// Failing makes the affected servers fail a random share, Factor, of their
+	// requests at once, while they still reply to load queries.
 	Failing
-	// Shedding makes a share of the servers shed every request, while questions
-	// are answered.
+	// Shedding makes the affected servers shed every request, while they still reply
+	// to load queries.
 	Shedding
-	// Restart starts a share of the servers anew, one after another over the time.
+	// Restart restarts the affected servers one after another, evenly spread over
+	// the duration of the fault.
 	Restart
 )
 
-// Trouble is something that goes wrong for a time.
-type Trouble struct {
+// Fault is a server fault or a traffic burst of limited duration.
+type Fault struct {
 	Kind TroubleKind
-	// At is when it begins, from the start of the run, and For how long it lasts.
-	At  time.Duration
-	For time.Duration
-	// Share is the share of the servers that it meets.
+	// Start is when the fault begins, from the start of the run, and Duration how
+	// long it lasts.
+	Start    time.Duration
+	Duration time.Duration
+	// Share is the share of the servers that are affected.
 	Share float64
-	// Factor is how strong it is.
+	// Factor is the strength of the fault, as described at its kind.
 	Factor float64
 }
 
-// Pattern is a system that is served: its size, its load and its troubles.
+// Pattern is a load pattern: the size of a simulated system, its load and its faults.
 type Pattern struct {
-	// Name names the pattern in reports, About says what it shows.
-	Name  string
-	About string
+	// Name identifies the pattern in reports.
+	Name string
+	// Description says which situation the pattern covers.
+	Description string
 	// Duration is the time during which new requests arrive.
 	Duration time.Duration
 	// Gateways is the number of gateways.
 	Gateways int
-	// QuestionsPerServer bounds the questions to one server a second.
-	QuestionsPerServer float64
-	Servers            Servers
-	Network            Network
-	Callers            Callers
-	// Load multiplies the rates of all kinds.
-	Load     float64
-	Troubles []Trouble
+	// MaxQueryRate limits the load queries that one server gets from all gateways,
+	// per second.
+	MaxQueryRate float64
+	Servers      Servers
+	Network      Network
+	Callers      Callers
+	// Load multiplies the arrival rates of all request classes.
+	Load   float64
+	Faults []Fault
 }
 
-// rate returns what the rates of all kinds are multiplied by at a time of the run.
-func (p Pattern) rate(at time.Duration) float64 {
-	rate := p.Load
-	for _, t := range p.Troubles {
-		if t.Kind == Burst && at >= t.At && at < t.At+t.For {
-			rate *= t.Factor
+// loadFactor returns the multiplier of all arrival rates at a time of the run.
+func (p Pattern) loadFactor(at time.Duration) float64 {
+	factor := p.Load
+	for _, f := range p.Faults {
+		if f.Kind == Burst && at >= f.Start && at < f.Start+f.Duration {
+			factor *= f.Factor
 		}
 	}
-	return rate
+	return factor
 }
 
-// plan plans a trouble. The servers that it meets follow from the seed.
-func (w *world) plan(t Trouble) {
-	if t.Kind == Burst {
+// scheduleFault schedules the start and the end of a server fault. The affected
+// servers are drawn at random; equal seeds affect the same servers.
+func (sim *simulation) scheduleFault(f Fault) {
+	if f.Kind == Burst {
 		return
 	}
-	met := slices.Clone(w.servers)
-	w.noise.Shuffle(len(met), func(i, j int) { met[i], met[j] = met[j], met[i] })
-	met = met[:int(t.Share*float64(len(met))+0.5)]
-	for i, s := range met {
-		if t.Kind == Restart {
-			w.loop.at(start.Add(t.At+t.For*time.Duration(i)/time.Duration(len(met))), s.start)
+	affected := slices.Clone(sim.servers)
+	sim.noise.Shuffle(len(affected), func(i, j int) { affected[i], affected[j] = affected[j], affected[i] })
+	affected = affected[:int(f.Share*float64(len(affected))+0.5)]
+	for i, s := range affected {
+		if f.Kind == Restart {
+			sim.loop.schedule(epoch.Add(f.Start+f.Duration*time.Duration(i)/time.Duration(len(affected))), s.restart)
 			continue
 		}
-		w.loop.at(start.Add(t.At), func() { s.change(func() { s.meet(t) }) })
-		w.loop.at(start.Add(t.At+t.For), func() { s.recover(t) })
+		sim.loop.schedule(epoch.Add(f.Start), func() { s.update(func() { s.applyFault(f) }) })
+		sim.loop.schedule(epoch.Add(f.Start+f.Duration), func() { s.clearFault(f) })
 	}
 }
 
-// meet begins a trouble at a server.
-func (s *server) meet(t Trouble) {
-	switch t.Kind {
+// applyFault starts a fault of the server.
+func (s *server) applyFault(f Fault) {
+	switch f.Kind {
 	case Slow:
-		s.slow = t.Factor
+		s.slowFactor = f.Factor
 	case Dark:
-		s.dark = true
+		s.unresponsive = true
 	case Failing:
-		s.failing = t.Factor
+		s.failureRate = f.Factor
 	case Shedding:
 		s.shedding = true
 	case Burst, Restart:
 	}
 }
 
-// recover ends a trouble at a server.
-func (s *server) recover(t Trouble) {
-	if t.Kind == Dark {
-		s.start()
+// clearFault ends a fault of the server.
+func (s *server) clearFault(f Fault) {
+	if f.Kind == Dark {
+		s.restart()
 		return
 	}
-	s.change(func() { s.slow, s.failing, s.shedding = 1, 0, false })
+	s.update(func() { s.slowFactor, s.failureRate, s.shedding = 1, 0, false })
 }
 
-// base is a network of sheds: members browse rosters and book machines.
-func base(name, about string, load float64, troubles ...Trouble) Pattern {
+// basePattern returns a pattern with the default system and workload, those of a booking
+// service whose users browse rosters (Browse) and book machines (Book).
+func basePattern(name, description string, load float64, faults ...Fault) Pattern {
 	return Pattern{
-		Name: name, About: about, Duration: 30 * time.Second, Gateways: 13, QuestionsPerServer: 60,
+		Name: name, Description: description, Duration: 30 * time.Second, Gateways: 13, MaxQueryRate: 60,
 		Servers: Servers{
-			Count: 22, Slots: 2, Queue: 4, OnFull: Reset, Knee: 0.8, KneeFactor: 1.7,
-			NoiseShare: 0.35, NoiseFactor: 4, NoiseEvery: 300 * time.Millisecond,
-			Cold: 3 * time.Second, ColdFactor: 2,
+			Count: 22, Slots: 2, QueueLength: 4, OnFull: Reset, Knee: 0.8, KneeFactor: 1.7,
+			NoiseShare: 0.35, NoiseFactor: 4, NoiseInterval: 300 * time.Millisecond,
+			ColdPeriod: 3 * time.Second, ColdFactor: 2,
 		},
-		Network: Network{Zone: 100 * time.Microsecond, Across: 500 * time.Microsecond},
+		Network: Network{WithinZone: 100 * time.Microsecond, CrossZone: 500 * time.Microsecond},
 		Callers: Callers{
 			Retries: 1,
-			Kinds: []Kind{
+			Classes: []RequestClass{
 				{
-					Name: "Browse", PerSecond: 54, Work: 120 * time.Millisecond, Spread: 0.3, Target: 300 * time.Millisecond,
-					Deadline: time.Second, Worth: 1, Late: 0.1, Priority: 2, Idempotent: true,
+					Name: "Browse", Rate: 54, Work: 120 * time.Millisecond, Deviation: 0.3, Target: 300 * time.Millisecond,
+					Deadline: time.Second, Value: 1, LateValue: 0.1, Priority: 2, Idempotent: true,
 				},
 				{
-					Name: "Book", PerSecond: 22, Work: 160 * time.Millisecond, Spread: 0.3, Target: 400 * time.Millisecond,
-					Deadline: 1200 * time.Millisecond, Worth: 2, Late: 0.2, Priority: 1,
+					Name: "Book", Rate: 22, Work: 160 * time.Millisecond, Deviation: 0.3, Target: 400 * time.Millisecond,
+					Deadline: 1200 * time.Millisecond, Value: 2, LateValue: 0.2, Priority: 1,
 				},
 			},
 		},
-		Load: load, Troubles: troubles,
+		Load: load, Faults: faults,
 	}
 }
 
-// troubleAt and troubleFor place the trouble of a pattern in its run.
+// The start and the duration of the fault in every pattern that has one.
 const (
-	troubleAt  = 8 * time.Second
-	troubleFor = 8 * time.Second
+	faultStart    = 8 * time.Second
+	faultDuration = 8 * time.Second
 )
 
-// Patterns returns the patterns that are compared.
+// Patterns returns the patterns in which policies are compared.
 func Patterns() []Pattern {
-	trouble := func(kind TroubleKind, share, factor float64) Trouble {
-		return Trouble{Kind: kind, At: troubleAt, For: troubleFor, Share: share, Factor: factor}
+	fault := func(kind TroubleKind, share, factor float64) Fault {
+		return Fault{Kind: kind, Start: faultStart, Duration: faultDuration, Share: share, Factor: factor}
 	}
-	hang := base("FullServersHang", "a surge at servers that hang when they are full", 1, trouble(Burst, 0, 2.5))
+	hang := basePattern("FullServersHang", "a traffic burst; servers never reply when full", 1, fault(Burst, 0, 2.5))
 	hang.Servers.OnFull = Hang
-	shed := base("FullServersShed", "a surge at servers that shed when they are full", 1, trouble(Burst, 0, 2.5))
+	shed := basePattern("FullServersShed", "a traffic burst; servers shed requests when full", 1, fault(Burst, 0, 2.5))
 	shed.Servers.OnFull = Shed
-	wide := base("ManySlots", "a surge at few servers of many slots", 1, trouble(Burst, 0, 2.5))
+	wide := basePattern("ManySlots", "a traffic burst at few servers with many slots each", 1, fault(Burst, 0, 2.5))
 	wide.Servers.Count, wide.Servers.Slots = 6, 8
-	few := base("FewQuestions", "a high load where servers may rarely be asked", 1.5)
-	few.QuestionsPerServer = 8
+	few := basePattern("FewQuestions", "a high load with a low limit on load queries", 1.5)
+	few.MaxQueryRate = 8
 	return []Pattern{
-		base("Calm", "a usual load", 1),
-		base("High", "a load near what the servers can bear", 1.7),
-		base("Surge", "two and a half times the usual load for some seconds", 1, trouble(Burst, 0, 2.5)),
+		basePattern("Calm", "the normal load", 1),
+		basePattern("High", "a load close to the capacity of the servers", 1.7),
+		basePattern("Surge", "a traffic burst of two and a half times the normal load for eight seconds", 1, fault(Burst, 0, 2.5)),
 		hang, shed, wide, few,
-		base("SlowServers", "a sixth of the servers is five times as slow and does not say so", 1.2, trouble(Slow, 0.16, 5)),
-		base("DarkServers", "a sixth of the servers accepts requests and answers nothing", 1.2, trouble(Dark, 0.16, 0)),
-		base("FailingServers", "a sixth of the servers fails most requests and answers questions", 1.2, trouble(Failing, 0.16, 0.8)),
-		base("SheddingServers", "half of the servers sheds every request and answers questions", 1, trouble(Shedding, 0.5, 0)),
-		base("Release", "half of the servers starts anew, one after another", 1.2, trouble(Restart, 0.5, 0)),
+		basePattern("SlowServers", "a sixth of the servers take five times as long without reporting it", 1.2, fault(Slow, 0.16, 5)),
+		basePattern("DarkServers", "a sixth of the servers accept requests and never reply", 1.2, fault(Dark, 0.16, 0)),
+		basePattern("FailingServers", "a sixth of the servers fail most requests but reply to load queries", 1.2, fault(Failing, 0.16, 0.8)),
+		basePattern("SheddingServers", "half of the servers shed every request but reply to load queries", 1, fault(Shedding, 0.5, 0)),
+		basePattern("Release", "a rolling restart of half of the servers", 1.2, fault(Restart, 0.5, 0)),
 	}
 }
--- a/internal/standin/model/policy.go
+++ b/internal/standin/model/policy.go
@@ -9,51 +9,69 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/slot"
 )
 
-// defaultAsk is how many servers a call asks.
-const defaultAsk = 8
+// defaultMaxQueries is how many servers are queried for their load before an attempt.
+const defaultMaxQueries = 8
 
-// Policy is how the gateways decide.
+// Policy is a load balancing policy of the gateways.
 type Policy struct {
-	// Name names the policy in reports, About says what it does.
-	Name  string
-	About string
-	// New makes a gateway's chooser.
-	New func() mustardsaddle.Chooser
-	// Ask is how many servers a call asks, if the chooser asks.
-	Ask int
-	// Patience is the part of its target, as one part in this many, for which a call
-	// waits for a server; 0 means the default.
-	Patience int
-	// Exact lets one central gateway know the state of every server at every moment,
-	// at no price.
-	Exact bool
+	// Name identifies the policy in reports.
+	Name string
+	// Description says how the policy chooses.
+	Description string
+	// NewChooser returns a chooser for one gateway.
+	NewChooser func() mustardsaddle.Chooser
+	// MaxQueries is the maximum number of servers queried for their load before an
+	// attempt, if the chooser is a Surveyor.
+	MaxQueries int
+	// WaitDivisor sets how long a call may wait in the queue of a gateway: its target
+	// latency divided by WaitDivisor; 0 means slot.PatienceShare.
+	WaitDivisor int
+	// PerfectInformation replaces the gateways by a single one that knows the state
+	// of every server at all times, without the cost of queries. It is a reference
+	// for what the other policies could achieve.
+	PerfectInformation bool
 }
 
-func (p Policy) patience() int {
-	return cmp.Or(p.Patience, slot.PatienceShare)
+func (p Policy) waitDivisor() int {
+	return cmp.Or(p.WaitDivisor, slot.PatienceShare)
 }
 
-// Policies returns the policies that are compared, the product's first.
+// Policies returns the policies to compare, with that of the load balancer first.
 func Policies() []Policy {
-	asking := func(cfg survey.Config) func() mustardsaddle.Chooser {
+	querying := func(cfg survey.Config) func() mustardsaddle.Chooser {
 		return func() mustardsaddle.Chooser { return survey.New(cfg) }
 	}
 	ranking := func(p bench.Policy) func() mustardsaddle.Chooser {
 		return func() mustardsaddle.Chooser { return bench.New(bench.Config{Policy: p}) }
 	}
 	return []Policy{
-		{Name: "Survey", About: "asks eight servers before each attempt", New: asking(survey.Config{}), Ask: defaultAsk},
-		{Name: "Survey4", About: "asks four servers", New: asking(survey.Config{}), Ask: defaultAsk / 2},
 		{
-			Name: "SurveyAllSlots", About: "uses the last slot of slow servers too", Ask: defaultAsk,
-			New: asking(survey.Config{SlowRatio: -1}),
+			Name: "Survey", Description: "queries the load of up to eight servers before each attempt",
+			NewChooser: querying(survey.Config{}), MaxQueries: defaultMaxQueries,
 		},
 		{
-			Name: "SurveyPatient", About: "waits half of the target for a server", Ask: defaultAsk, Patience: 2,
-			New: asking(survey.Config{}),
+			Name: "Survey4", Description: "queries up to four servers",
+			NewChooser: querying(survey.Config{}), MaxQueries: defaultMaxQueries / 2,
+		},
+		{
+			Name: "SurveyAllSlots", Description: "also uses the last slot of slow servers", MaxQueries: defaultMaxQueries,
+			NewChooser: querying(survey.Config{SlowRatio: -1}),
+		},
+		{
+			Name: "SurveyPatient", Description: "queues calls for up to half of their target latency",
+			MaxQueries: defaultMaxQueries, WaitDivisor: 2, NewChooser: querying(survey.Config{}),
+		},
+		{
+			Name: "TwoChoices", Description: "the one of two random servers with fewer attempts of the same gateway, without queries",
+			NewChooser: ranking(bench.TwoChoices),
+		},
+		{
+			Name: "PreferredSpill", Description: "divides the slots among the gateways, without queries",
+			NewChooser: ranking(bench.PreferredSpill),
+		},
+		{
+			Name: "Exact", Description: "a single gateway that knows the state of every server at all times",
+			NewChooser: querying(survey.Config{}), PerfectInformation: true,
 		},
-		{Name: "TwoChoices", About: "asks nobody, the better of two by own attempts", New: ranking(bench.TwoChoices)},
-		{Name: "PreferredSpill", About: "asks nobody, divides the slots among the gateways", New: ranking(bench.PreferredSpill)},
-		{Name: "Exact", About: "one gateway that knows every server at every moment", New: asking(survey.Config{}), Exact: true},
 	}
 }
--- a/internal/standin/model/result.go
+++ b/internal/standin/model/result.go
@@ -10,126 +10,131 @@
 
 //go:generate go tool -modfile=../../../tools/go.mod stringer -type=End -output=end_string.go
 
-// End is how a request of a caller ended, over all its tries.
+// End is the final outcome of a request, after all retries of its caller.
 type End int
 
 const (
-	// Served means that an answer came, in time or late.
+	// Served means that the caller got a response, within the target latency or later.
 	Served End = iota
 	// Refused means that the request was refused and has not run.
 	Refused
-	// Failed means that it broke, or may have run.
+	// Failed means that the request failed, or may have run without a response.
 	Failed
-	// TimedOut means that its deadline passed.
+	// TimedOut means that the deadline passed.
 	TimedOut
 )
 
-// ends is the number of ends.
-const ends = int(TimedOut) + 1
+// numEnds is the number of End values.
+const numEnds = int(TimedOut) + 1
 
 const (
-	// WindowLength is the length of the windows over which credit is taken.
+	// WindowLength is the length of the time windows over which value is summed.
 	WindowLength = 2 * time.Second
-	// worstWindows is how many of the worst windows count.
+	// worstWindows is the number of windows that Result.Worst covers.
 	worstWindows = 2
-	// maxLatency bounds the histogram of latencies.
+	// maxLatency limits the latencies in the histogram.
 	maxLatency = time.Minute
-	// figures is the number of significant figures of the histogram.
-	figures = 3
+	// significantFigures is the precision of the histogram.
+	significantFigures = 3
 )
 
-// Weights of the parts of a result in its worth, those of both users. They add up to 1.
+// The weights of the components of Result.Worth, as both users of the load balancer weigh
+// them. They add up to 1.
 const (
-	// worstWeight is that of the credit of the worst windows.
+	// worstWeight is the weight of the value share in the worst windows.
 	worstWeight = 0.4
-	// wholeWeight is that of all credit.
-	wholeWeight = 0.28
-	// servedWeight is that of requests that are served at all.
+	// overallWeight is the weight of the value share in the whole run.
+	overallWeight = 0.28
+	// servedWeight is the weight of the share of requests that were served at all.
 	servedWeight = 0.2
-	// kindWeight is that of the kind of request with the least credit.
-	kindWeight = 0.12
+	// classWeight is the weight of the value share of the worst request class.
+	classWeight = 0.12
 )
 
-// Result is what callers got in a run.
+// Result holds the measurements of a run. Each response has a value, that of its
+// request class; value shares are earned value relative to the value that would have
+// been earned had every request been served within its target latency.
 type Result struct {
-	// Pattern and Policy name the run.
+	// Pattern and Policy are the names of the run's pattern and policy.
 	Pattern string
 	Policy  string
-	// Asked counts the new requests.
+	// Asked is the number of new requests.
 	Asked int
-	// Requests counts the requests by their ends, and InTime those served by their
-	// target.
-	Requests [ends]int
+	// Requests counts the requests by their final outcome, InTime those served
+	// within their target latency.
+	Requests [numEnds]int
 	InTime   int
-	// Attempts counts what was sent to servers, Questions what they were asked.
+	// Attempts is the number of attempts sent to servers, Questions that of load
+	// queries.
 	Attempts  int
 	Questions int
 
-	kinds   map[string]*credit
-	windows []credit
-	whole   credit
+	classes map[string]*value
+	windows []value
+	overall value
 	latency *hdrhistogram.Histogram
 }
 
-// credit is what was earned of what could be earned.
-type credit struct {
-	earned, owed float64
+// value is the earned value of some requests, and the most they could have earned.
+type value struct {
+	earned, possible float64
 }
 
-// share returns the part that was earned; of nothing, all.
-func (c credit) share() float64 {
-	if c.owed == 0 {
+// share returns the earned share of the possible value, or 1 if there were no requests.
+func (v value) share() float64 {
+	if v.possible == 0 {
 		return 1
 	}
-	return c.earned / c.owed
+	return v.earned / v.possible
 }
 
 func newResult(cfg Config) *Result {
 	return &Result{
 		Pattern: cfg.Pattern.Name, Policy: cfg.Policy.Name,
-		kinds:   make(map[string]*credit),
-		windows: make([]credit, int((cfg.Pattern.Duration+WindowLength-1)/WindowLength)),
-		latency: hdrhistogram.New(1, maxLatency.Microseconds(), figures),
+		classes: make(map[string]*value),
+		windows: make([]value, int((cfg.Pattern.Duration+WindowLength-1)/WindowLength)),
+		latency: hdrhistogram.New(1, maxLatency.Microseconds(), significantFigures),
 	}
 }
 
-// credits returns the accounts that a request counts in.
-func (r *Result) credits(q *request) []*credit {
-	kind := r.kinds[q.kind.Name]
-	if kind == nil {
-		kind = &credit{}
-		r.kinds[q.kind.Name] = kind
+// valuesOf returns the values to which a request contributes: those of its class, of
+// the window in which it arrived, and of the whole run.
+func (r *Result) valuesOf(req *request) []*value {
+	class := r.classes[req.class.Name]
+	if class == nil {
+		class = &value{}
+		r.classes[req.class.Name] = class
 	}
-	return []*credit{kind, &r.windows[int(q.first.Sub(start)/WindowLength)], &r.whole}
+	return []*value{class, &r.windows[int(req.arrived.Sub(epoch)/WindowLength)], &r.overall}
 }
 
-// asked counts a new request.
-func (r *Result) asked(q *request) {
+// recordArrival records a new request.
+func (r *Result) recordArrival(req *request) {
 	r.Asked++
-	for _, c := range r.credits(q) {
-		c.owed += q.kind.Worth
+	for _, v := range r.valuesOf(req) {
+		v.possible += req.class.Value
 	}
 }
 
-// ended counts the end of a request.
-func (r *Result) ended(q *request, how End, now time.Time) {
-	r.Requests[how]++
-	if how != Served {
+// recordEnd records the final outcome of a request.
+func (r *Result) recordEnd(req *request, end End, now time.Time) {
+	r.Requests[end]++
+	if end != Served {
 		return
 	}
-	took := now.Sub(q.first)
-	_ = r.latency.RecordValue(min(took, maxLatency).Microseconds()) // within the bounds
-	worth := q.kind.Late
-	if took <= q.kind.Target {
-		worth = q.kind.Worth
+	latency := now.Sub(req.arrived)
+	_ = r.latency.RecordValue(min(latency, maxLatency).Microseconds()) // within the bounds
+	earned := req.class.LateValue
+	if latency <= req.class.Target {
+		earned = req.class.Value
 		r.InTime++
 	}
-	for _, c := range r.credits(q) {
-		c.earned += worth
+	for _, v := range r.valuesOf(req) {
+		v.earned += earned
 	}
 }
 
-// Total returns the number of requests.
+// Total returns the number of requests that have ended.
 func (r *Result) Total() int {
 	n := 0
 	for _, count := range r.Requests {
@@ -138,48 +143,49 @@
 	return n
 }
 
-// ServedShare returns the share of requests that were served at all.
+// ServedShare returns the share of requests that were served, in time or late.
 func (r *Result) ServedShare() float64 {
 	return float64(r.Requests[Served]) / float64(max(r.Total(), 1))
 }
 
-// Credit returns the share of all credit that was earned.
+// Credit returns the value share of the whole run.
 func (r *Result) Credit() float64 {
-	return r.whole.share()
+	return r.overall.share()
 }
 
-// Worst returns the share of credit that was earned in the worst windows.
+// Worst returns the value share of the worst windows taken together.
 func (r *Result) Worst() float64 {
 	sorted := slices.Clone(r.windows)
-	slices.SortFunc(sorted, func(a, b credit) int { return cmp.Compare(a.share(), b.share()) })
-	var sum credit
-	for _, c := range sorted[:min(worstWindows, len(sorted))] {
-		sum.earned += c.earned
-		sum.owed += c.owed
+	slices.SortFunc(sorted, func(a, b value) int { return cmp.Compare(a.share(), b.share()) })
+	var sum value
+	for _, v := range sorted[:min(worstWindows, len(sorted))] {
+		sum.earned += v.earned
+		sum.possible += v.possible
 	}
 	return sum.share()
 }
 
-// Windows returns the share of credit that was earned in each window.
+// Windows returns the value share of each window, by the arrival of requests.
 func (r *Result) Windows() []float64 {
 	shares := make([]float64, len(r.windows))
-	for i, c := range r.windows {
-		shares[i] = c.share()
+	for i, v := range r.windows {
+		shares[i] = v.share()
 	}
 	return shares
 }
 
-// Worth returns the weighted mean of the parts, from 0 to 1. It has no prices.
+// Worth returns the overall score of the run, from 0 to 1: the weighted mean of its
+// components. The cost of attempts and load queries is not part of it.
 func (r *Result) Worth() float64 {
-	kind := 1.0
-	for _, c := range r.kinds {
-		kind = min(kind, c.share())
+	worstClass := 1.0
+	for _, v := range r.classes {
+		worstClass = min(worstClass, v.share())
 	}
-	return worstWeight*r.Worst() + wholeWeight*r.Credit() + servedWeight*r.ServedShare() + kindWeight*kind
+	return worstWeight*r.Worst() + overallWeight*r.Credit() + servedWeight*r.ServedShare() + classWeight*worstClass
 }
 
 // Quantile returns a quantile, in percent, of the latencies of served requests,
-// counted from the first try.
+// measured from the arrival of the request.
 func (r *Result) Quantile(percent float64) time.Duration {
 	return time.Duration(r.latency.ValueAtQuantile(percent)) * time.Microsecond
 }
--- a/internal/standin/model/seed_test.go
+++ b/internal/standin/model/seed_test.go
@@ -2,6 +2,6 @@
 
 import "flag"
 
-// Each run draws the same cases, so that the verdict never changes by itself; a
-// -rapid.seed on the command line comes later and wins.
+// A fixed seed makes every run draw the same cases, so that the result is
+// reproducible. A -rapid.seed flag on the command line is parsed later and overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/internal/standin/model/server.go
+++ b/internal/standin/model/server.go
@@ -10,43 +10,45 @@
 
 //go:generate go tool -modfile=../../../tools/go.mod stringer -type=OnFull -output=onfull_string.go
 
-// OnFull is what a server does with a request for which it has no room.
+// OnFull is how a server handles a request when its slots and its queue are full.
 type OnFull int
 
 const (
-	// Shed answers at once that the request has not run.
+	// Shed replies at once that the request has not run.
 	Shed OnFull = iota
-	// Reset breaks the connection.
+	// Reset resets the connection.
 	Reset
-	// Hang never answers.
+	// Hang never replies.
 	Hang
 )
 
-// Servers describes the endpoint servers of the model.
+// Servers describes the simulated endpoint servers, which are all alike.
 type Servers struct {
 	// Count is the number of servers.
 	Count int
 	// Slots is how many requests a server runs at a time.
 	Slots int
-	// Queue is how many more wait.
-	Queue int
-	// OnFull is what becomes of the rest.
+	// QueueLength is how many more requests may wait at a server.
+	QueueLength int
+	// OnFull is how a server handles requests beyond that.
 	OnFull OnFull
-	// Knee is the share of taken slots above which all work takes KneeFactor times
-	// as long.
+	// Knee is the utilization of the slots above which all service times are
+	// multiplied by KneeFactor.
 	Knee       float64
 	KneeFactor float64
-	// NoiseShare is the share of servers whose neighbors make work take NoiseFactor
-	// times as long; which ones changes every NoiseEvery.
-	NoiseShare  float64
-	NoiseFactor float64
-	NoiseEvery  time.Duration
-	// Cold is how long a started server is slow, by ColdFactor.
-	Cold       time.Duration
+	// NoiseShare is the share of servers with noisy neighbors, which multiply the
+	// service times by NoiseFactor. The affected servers are redrawn every
+	// NoiseInterval.
+	NoiseShare    float64
+	NoiseFactor   float64
+	NoiseInterval time.Duration
+	// ColdPeriod is the time after a restart during which service times are
+	// multiplied by ColdFactor.
+	ColdPeriod time.Duration
 	ColdFactor float64
 }
 
-// reply is how a server answers a request or a question.
+// reply is a server's reply to an attempt.
 type reply struct {
 	outcome mustardsaddle.Outcome
 	failed  bool
@@ -54,45 +56,48 @@
 	report  mustardsaddle.Report
 }
 
-// job is a request in a server.
+// job is an attempt that runs or waits at a server.
 type job struct {
-	// left is the work that is left, at the usual speed.
-	left   time.Duration
-	answer func(reply)
+	// remaining is the remaining service time at nominal speed.
+	remaining time.Duration
+	respond   func(reply)
 }
 
-// server is one endpoint server. Its running jobs share its speed, which changes
-// with the number of jobs, its neighbors and the troubles of the pattern.
+// server is a simulated endpoint server. All its running jobs progress at the same
+// speed, which changes with the number of jobs, noisy neighbors and faults.
 type server struct {
 	name string
 	zone string
 	cfg  Servers
-	loop *loop
+	loop *eventLoop
 	rng  *rand.Rand
 
-	// coming counts the requests that are on their way to the server.
-	coming  int
-	running []*job
-	waiting []*job
-	// advanced is up to when the work of running jobs is taken off.
-	advanced time.Time
-	// plan numbers the planned ends of jobs, of which only the newest counts.
-	plan int
+	// inTransit counts the requests that are on their way to the server.
+	inTransit int
+	running   []*job
+	waiting   []*job
+	// lastAdvance is the time up to which the progress of running jobs is accounted.
+	lastAdvance time.Time
+	// version counts the updates; a job completion that was scheduled before the
+	// latest update is void.
+	version int
 
 	noisy bool
-	// slow multiplies the time of work while a trouble lasts; 1 is as usual.
-	slow float64
-	// dark is true while the server accepts requests and answers nothing.
-	dark bool
-	// failing is the share of requests that fail although questions are answered.
-	failing float64
-	// shedding is true while all requests are shed although questions are answered.
+	// slowFactor multiplies service times during a Slow fault; 1 otherwise.
+	slowFactor float64
+	// unresponsive is true during a Dark fault.
+	unresponsive bool
+	// failureRate is the share of requests that fail during a Failing fault; 0
+	// otherwise.
+	failureRate float64
+	// shedding is true during a Shedding fault.
 	shedding bool
-	// cold is true after a start.
+	// cold is true for the ColdPeriod after a restart.
 	cold bool
 }
 
-// slowness is how long work takes on the server's VM as a multiple of the usual.
+// slowness returns the service time relative to nominal speed as the server reports
+// it: it shows noisy neighbors alone.
 func (s *server) slowness() float64 {
 	if s.noisy {
 		return s.cfg.NoiseFactor
@@ -100,9 +105,9 @@
 	return 1
 }
 
-// stretch is how long work takes in all, as a multiple of the usual.
-func (s *server) stretch() float64 {
-	factor := s.slowness() * s.slow
+// serviceTimeFactor returns the actual service time relative to nominal speed.
+func (s *server) serviceTimeFactor() float64 {
+	factor := s.slowness() * s.slowFactor
 	if float64(len(s.running)) > s.cfg.Knee*float64(s.cfg.Slots) {
 		factor *= s.cfg.KneeFactor
 	}
@@ -112,99 +117,103 @@
 	return factor
 }
 
-// report is what the server says of its load.
+// report returns the server's load report.
 func (s *server) report() mustardsaddle.Report {
 	return mustardsaddle.Report{
 		InFlight: len(s.running) + len(s.waiting), Slots: s.cfg.Slots, Slowness: s.slowness(), At: s.loop.now,
 	}
 }
 
-// take accepts a request, whose answer is given to the function, unless it hangs.
-func (s *server) take(j *job) {
+// accept runs, queues, sheds or fails a request. An unresponsive server never replies,
+// nor does a full one with OnFull set to Hang.
+func (s *server) accept(j *job) {
 	switch {
-	case s.dark:
+	case s.unresponsive:
 	case s.shedding:
-		j.answer(reply{outcome: mustardsaddle.NotRun, shed: true, report: s.report()})
-	case s.failing > 0 && s.rng.Float64() < s.failing:
-		j.answer(reply{outcome: mustardsaddle.Ran, failed: true, report: s.report()})
+		j.respond(reply{outcome: mustardsaddle.NotRun, shed: true, report: s.report()})
+	case s.failureRate > 0 && s.rng.Float64() < s.failureRate:
+		j.respond(reply{outcome: mustardsaddle.Ran, failed: true, report: s.report()})
 	case len(s.running) < s.cfg.Slots:
-		s.change(func() { s.running = append(s.running, j) })
-	case len(s.waiting) < s.cfg.Queue:
+		s.update(func() { s.running = append(s.running, j) })
+	case len(s.waiting) < s.cfg.QueueLength:
 		s.waiting = append(s.waiting, j)
 	case s.cfg.OnFull == Shed:
-		j.answer(reply{outcome: mustardsaddle.NotRun, shed: true, report: s.report()})
+		j.respond(reply{outcome: mustardsaddle.NotRun, shed: true, report: s.report()})
 	case s.cfg.OnFull == Reset:
-		j.answer(reply{outcome: mustardsaddle.Unknown, failed: true})
+		j.respond(reply{outcome: mustardsaddle.Unknown, failed: true})
 	}
 }
 
-// drop removes a request whose caller has gone.
-func (s *server) drop(j *job) {
+// cancel removes a job whose gateway no longer waits for the reply.
+func (s *server) cancel(j *job) {
 	if i := slices.Index(s.waiting, j); i >= 0 {
 		s.waiting = slices.Delete(s.waiting, i, i+1)
 		return
 	}
 	if i := slices.Index(s.running, j); i >= 0 {
-		s.change(func() {
+		s.update(func() {
 			s.running = slices.Delete(s.running, i, i+1)
-			s.refill()
+			s.fillSlots()
 		})
 	}
 }
 
-// refill moves waiting requests into free slots.
-func (s *server) refill() {
+// fillSlots moves waiting jobs into free slots.
+func (s *server) fillSlots() {
 	for len(s.running) < s.cfg.Slots && len(s.waiting) > 0 {
 		s.running = append(s.running, s.waiting[0])
 		s.waiting = s.waiting[1:]
 	}
 }
 
-// change takes the work that was done at the present speed off, makes a change, and
-// plans the next end of a job at the new speed.
-func (s *server) change(do func()) {
+// update applies a change that may affect the speed of the server: it first accounts
+// the progress at the previous speed, and afterwards schedules the next job completion
+// at the new one.
+func (s *server) update(change func()) {
 	s.advance()
-	do()
-	s.plan++
-	if s.dark || len(s.running) == 0 {
+	change()
+	s.version++
+	if s.unresponsive || len(s.running) == 0 {
 		return
 	}
-	first := slices.MinFunc(s.running, func(a, b *job) int { return int(a.left - b.left) })
-	plan := s.plan
-	s.loop.after(time.Duration(float64(first.left)*s.stretch()), func() {
-		if plan == s.plan {
-			s.finish(first)
+	first := slices.MinFunc(s.running, func(a, b *job) int { return int(a.remaining - b.remaining) })
+	version := s.version
+	s.loop.scheduleAfter(time.Duration(float64(first.remaining)*s.serviceTimeFactor()), func() {
+		if version == s.version {
+			s.complete(first)
 		}
 	})
 }
 
-// advance takes the work off that was done since the last change.
+// advance accounts the progress of the running jobs since the last call. An
+// unresponsive server makes no progress.
 func (s *server) advance() {
-	done := time.Duration(float64(s.loop.now.Sub(s.advanced)) / s.stretch())
-	s.advanced = s.loop.now
-	if s.dark {
+	progress := time.Duration(float64(s.loop.now.Sub(s.lastAdvance)) / s.serviceTimeFactor())
+	s.lastAdvance = s.loop.now
+	if s.unresponsive {
 		return
 	}
 	for _, j := range s.running {
-		j.left -= done
+		j.remaining -= progress
 	}
 }
 
-// finish ends a job and answers its request. The report in the answer still counts it.
-func (s *server) finish(j *job) {
+// complete removes a finished job and responds to its request. The load report in the
+// reply still counts the job.
+func (s *server) complete(j *job) {
 	rep := s.report()
-	s.change(func() {
+	s.update(func() {
 		s.running = slices.DeleteFunc(s.running, func(other *job) bool { return other == j })
-		s.refill()
+		s.fillSlots()
 	})
-	j.answer(reply{outcome: mustardsaddle.Ran, report: rep})
+	j.respond(reply{outcome: mustardsaddle.Ran, report: rep})
 }
 
-// start starts the server anew: what was in it is lost, and it is cold for a while.
-func (s *server) start() {
-	s.change(func() {
+// restart restarts the server: its jobs are lost, and it is cold for the ColdPeriod.
+func (s *server) restart() {
+	s.update(func() {
 		s.running, s.waiting = nil, nil
-		s.dark, s.cold = false, true
+		s.unresponsive, s.cold = false, true
 	})
-	s.loop.after(s.cfg.Cold, func() { s.change(func() { s.cold = false }) })
+	s.loop.scheduleAfter(s.cfg.ColdPeriod, func() { s.update(func() { s.cold = false }) })
 }
