--- a/internal/standin/experiment/experiment.go
+++ b/internal/standin/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment compares policies side by side in the model of the served
-// systems: every policy meets the same patterns with the same seeds. It writes the
-// results as a table, as JSON, and as plots.
+// Package experiment compares load balancing policies in the simulation of package
+// model: every policy runs in the same load patterns with the same seeds. The report is
+// available as a table, as JSON by its encoding, and as plots.
 //
 // # Usage
 //
@@ -19,57 +19,57 @@
 
 // Config configures a comparison.
 type Config struct {
-	// Patterns and Policies are compared, each of the ones with each of the others.
+	// Patterns and Policies are compared in all combinations.
 	Patterns []model.Pattern
 	Policies []model.Policy
-	// FirstSeed is the seed of the first run of each pair, and Seeds the number of
-	// runs.
+	// FirstSeed is the seed of the first run of each combination, and Seeds the number
+	// of runs, with consecutive seeds.
 	FirstSeed uint64
 	Seeds     int
-	// Parallel is how many runs are made at a time; 0 means half of the processors.
+	// Parallel is the number of concurrent runs; 0 means half of the processors.
 	Parallel int
 }
 
-// Row is what a policy brought in a pattern, as the mean over the seeds.
+// Row holds the results of a policy in a pattern, as means over the seeds.
 type Row struct {
 	Pattern string
 	Policy  string
-	// Worth is the weighted mean of the parts, and WorthLow and WorthHigh the least
-	// and the greatest of a seed.
+	// Worth is the overall score, as in model.Result, and WorthLow and WorthHigh its
+	// minimum and maximum over the seeds.
 	Worth     float64
 	WorthLow  float64
 	WorthHigh float64
-	// Credit is the share of all credit, Worst that of the worst windows, and Served
-	// the share of requests that were served at all.
+	// Credit is the value share of the whole run, Worst that of the worst windows, and
+	// Served the share of requests that were served at all.
 	Credit float64
 	Worst  float64
 	Served float64
-	// P50 and P99 are quantiles of the latency of served requests from their first
-	// try.
+	// P50 and P99 are quantiles of the latency of served requests, measured from the
+	// arrival of the request.
 	P50 time.Duration
 	P99 time.Duration
-	// Attempts and Questions are counted for each request.
+	// Attempts and Questions are the numbers of attempts and load queries per request.
 	Attempts  float64
 	Questions float64
-	// Windows are the shares of credit in the windows of the run.
+	// Windows are the value shares of the time windows of the run.
 	Windows []float64
 }
 
 // Report is the result of a comparison.
 type Report struct {
-	// FirstSeed and Seeds name the runs.
+	// FirstSeed and Seeds are those of the Config.
 	FirstSeed uint64
 	Seeds     int
 	Rows      []Row
 }
 
-// task is a run that is to be made, and where its result goes.
+// task is a pending run and the destination of its result.
 type task struct {
 	cfg    model.Config
 	result **model.Result
 }
 
-// Run compares until the context ends, which is the only error.
+// Run runs the comparison. It fails only if the context ends, with the error of the context.
 func Run(ctx context.Context, cfg Config) (Report, error) {
 	report := Report{FirstSeed: cfg.FirstSeed, Seeds: cfg.Seeds}
 	var tasks []task
@@ -88,12 +88,12 @@
 		return Report{}, err
 	}
 	for _, runs := range results {
-		report.Rows = append(report.Rows, rowOf(runs))
+		report.Rows = append(report.Rows, newRow(runs))
 	}
 	return report, nil
 }
 
-// runAll makes all runs, some at a time.
+// runAll executes all tasks with the given number of workers.
 func runAll(ctx context.Context, tasks []task, parallel int) error {
 	if parallel <= 0 {
 		parallel = max(runtime.NumCPU()/2, 1)
@@ -103,19 +103,19 @@
 		queue <- t
 	}
 	close(queue)
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	for range parallel {
-		go work(ctx, queue, ended)
+		go worker(ctx, queue, done)
 	}
 	for range parallel {
-		<-ended
+		<-done
 	}
 	return ctx.Err()
 }
 
-// work makes runs until none is left or the context ends, then reports its end.
-func work(ctx context.Context, queue <-chan task, ended chan<- struct{}) {
-	defer func() { ended <- struct{}{} }()
+// worker executes tasks until the queue is empty or the context ends, then signals done.
+func worker(ctx context.Context, queue <-chan task, done chan<- struct{}) {
+	defer func() { done <- struct{}{} }()
 	for t := range queue {
 		if ctx.Err() != nil {
 			return
@@ -124,8 +124,8 @@
 	}
 }
 
-// rowOf returns the means over the runs of one pair.
-func rowOf(runs []*model.Result) Row {
+// newRow returns the means over the runs of one pattern with one policy.
+func newRow(runs []*model.Result) Row {
 	row := Row{Pattern: runs[0].Pattern, Policy: runs[0].Policy, WorthLow: 1, Windows: make([]float64, len(runs[0].Windows()))}
 	n := float64(len(runs))
 	var p50, p99 time.Duration
--- a/internal/standin/experiment/report.go
+++ b/internal/standin/experiment/report.go
@@ -18,7 +18,7 @@
 	"mustardsaddle.example/mustardsaddle/internal/standin/model"
 )
 
-// Size of a plot.
+// The size of a plot.
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
@@ -27,7 +27,7 @@
 // Text returns the report as a table.
 func (r Report) Text() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "Seeds %d to %d; means, and the range of the worth. Worth, Credit, Worst and Served are shares.\n\n",
+	fmt.Fprintf(&b, "Seeds %d to %d: means over the seeds, and the range of Worth. Worth, Credit, Worst and Served are fractions of 1.\n\n",
 		r.FirstSeed, r.FirstSeed+uint64(r.Seeds)-1)
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "Pattern\tPolicy\tWorth\tRange\tCredit\tWorst\tServed\tP50\tP99\tAttempts\tQuestions")
@@ -36,23 +36,23 @@
 			row.Pattern, row.Policy, row.Worth, row.WorthLow, row.WorthHigh, row.Credit, row.Worst, row.Served,
 			row.P50.Round(time.Millisecond), row.P99.Round(time.Millisecond), row.Attempts, row.Questions)
 	}
-	_ = w.Flush() // a strings.Builder takes everything
+	_ = w.Flush() // a strings.Builder returns no error
 	return b.String()
 }
 
-// Plot writes an SVG image of the credit over the time of a pattern, with a line for
+// Plot writes an SVG image of the value share over time in a pattern, with a line for
 // each policy.
 func (r Report) Plot(w io.Writer, pattern string) error {
 	p := plot.New()
 	p.Title.Text = pattern
-	p.X.Label.Text = "time in s"
-	p.Y.Label.Text = "share of credit"
+	p.X.Label.Text = "time (s)"
+	p.Y.Label.Text = "value share"
 	p.Y.Min, p.Y.Max = 0, 1
 	p.Legend.Top = false
 	var lines []any
 	for _, row := range r.Rows {
 		if row.Pattern == pattern {
-			lines = append(lines, row.Policy, points(row.Windows))
+			lines = append(lines, row.Policy, windowPoints(row.Windows))
 		}
 	}
 	if len(lines) == 0 {
@@ -67,8 +67,8 @@
 	return err
 }
 
-// points returns the middle of each window with its share of credit.
-func points(windows []float64) plotter.XYs {
+// windowPoints returns a point for the middle of each window, with its value share.
+func windowPoints(windows []float64) plotter.XYs {
 	xys := make(plotter.XYs, len(windows))
 	for i, share := range windows {
 		xys[i].X = (float64(i) + 0.5) * model.WindowLength.Seconds()
