--- a/internal/standin/command/trial.go
+++ b/internal/standin/command/trial.go
@@ -66,7 +66,7 @@
 	if c.Log {
 		cfg.Logger = event.NewLogger(c.env.cfg.Err, "info", "trial")
 	}
-	report, err := trial.Small(c.env.ctx, cfg)
+	report, err := trial.RunSmallSystem(c.env.ctx, cfg)
 	if err != nil {
 		return err
 	}
--- a/internal/standin/trial/front.go
+++ b/internal/standin/trial/front.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	// callTimeout bounds a call in a gateway by default.
+	// callTimeout is the default timeout of a call in a gateway.
 	callTimeout = 2 * time.Second
-	// The agreed cost of measuring of one gateway.
+	// The agreed limits on the load probes of one gateway.
 	probesPerSecond     = 20
 	probeBytesPerSecond = 16 << 10
 )
 
-// frontConfig configures a front.
-type frontConfig struct {
+// handlerConfig configures a gatewayHandler.
+type handlerConfig struct {
 	name      string
 	zone      string
 	candidate candidate
@@ -39,55 +39,57 @@
 	seed      uint64
 }
 
-// front is a gateway of the product with the chooser of a candidate, and with
-// its prober.
-type front struct {
-	cfg     frontConfig
-	gateway *gateway.Gateway
-	budget  *report.Budget
-	cancel  context.CancelFunc
-	ended   chan struct{}
+// gatewayHandler is the HTTP handler of a gateway that chooses servers with the policy
+// of a candidate, together with the prober that measures the load of servers.
+type gatewayHandler struct {
+	cfg         handlerConfig
+	gateway     *gateway.Gateway
+	probeBudget *report.Budget
+	cancel      context.CancelFunc
+	proberDone  chan struct{}
 }
 
-// newFront returns a gateway that has its rules, but no servers.
-func newFront(ctx context.Context, cfg frontConfig) (*front, error) {
-	rules, err := rulesOf(cfg.services)
+// newGatewayHandler returns a gateway with routing rules, but without servers, and
+// starts its prober.
+func newGatewayHandler(ctx context.Context, cfg handlerConfig) (*gatewayHandler, error) {
+	rules, err := newRules(cfg.services)
 	if err != nil {
 		return nil, err
 	}
-	f := &front{cfg: cfg, ended: make(chan struct{})}
-	declared := make(map[string]gateway.Service)
+	h := &gatewayHandler{cfg: cfg, proberDone: make(chan struct{})}
+	services := make(map[string]gateway.Service)
 	for _, svc := range cfg.services {
-		declared[svc.name] = gateway.Service{NotRunStatus: http.StatusServiceUnavailable, NotRunHeader: server.NotRunHeader}
+		services[svc.name] = gateway.Service{NotRunStatus: http.StatusServiceUnavailable, NotRunHeader: server.NotRunHeader}
 	}
-	f.gateway = gateway.New(gateway.Config{
-		Name: cfg.name, Deadline: cfg.timeout, Services: declared, Seed: cfg.seed,
-		Admission: admission.Options{Zone: cfg.zone, NewChooser: f.newChooser, RetryShare: cfg.candidate.retryShare()},
-		// Log lines are written, so that their cost is in the figures.
+	h.gateway = gateway.New(gateway.Config{
+		Name: cfg.name, Deadline: cfg.timeout, Services: services, Seed: cfg.seed,
+		Admission: admission.Options{Zone: cfg.zone, NewChooser: h.newChooser, RetryShare: cfg.candidate.retryShare()},
+		// Log lines are encoded and discarded, so that the measurements include the
+		// cost of logging.
 		Logger: zerolog.New(io.Discard).With().Timestamp().Logger(),
 	})
-	f.gateway.SetRules(rules)
-	f.gateway.SetFleet(time.Time{}, cfg.fleet) // it never changes in a run
-	f.budget = report.NewBudget(report.BudgetConfig{MessagesPerSecond: probesPerSecond, BytesPerSecond: probeBytesPerSecond})
-	ctx, f.cancel = context.WithCancel(ctx)
-	go admission.NewProber(admission.ProberConfig{Lanes: f.gateway.Lanes(), Budget: f.budget}).Run(ctx, f.ended)
-	return f, nil
+	h.gateway.SetRules(rules)
+	h.gateway.SetFleet(time.Time{}, cfg.fleet) // the fleet is constant during a run
+	h.probeBudget = report.NewBudget(report.BudgetConfig{MessagesPerSecond: probesPerSecond, BytesPerSecond: probeBytesPerSecond})
+	ctx, h.cancel = context.WithCancel(ctx)
+	go admission.NewProber(admission.ProberConfig{Lanes: h.gateway.Lanes(), Budget: h.probeBudget}).Run(ctx, h.proberDone)
+	return h, nil
 }
 
-// newChooser returns the chooser of a service.
-func (f *front) newChooser(string) mustardsaddle.Chooser {
-	return bench.New(f.cfg.candidate.cfg)
+// newChooser returns the chooser of a service, with the candidate's policy.
+func (h *gatewayHandler) newChooser(string) mustardsaddle.Chooser {
+	return bench.New(h.cfg.candidate.cfg)
 }
 
-// close ends the probes.
-func (f *front) close() {
-	f.cancel()
-	<-f.ended
-	f.gateway.Close()
+// close stops the prober and closes the gateway.
+func (h *gatewayHandler) close() {
+	h.cancel()
+	<-h.proberDone
+	h.gateway.Close()
 }
 
-// rulesOf returns rules that send /Booking to the service Booking, and so on.
-func rulesOf(services []service) (*rule.Table, error) {
+// newRules returns a routing table that maps the path /NAME to each service NAME.
+func newRules(services []service) (*rule.Table, error) {
 	var b strings.Builder
 	b.WriteString("# Generation 1\n")
 	for _, svc := range services {
@@ -95,7 +97,7 @@
 	}
 	file, problems := rule.Parse(b.String())
 	if len(problems) > 0 {
-		return nil, code.Errorf(problems[0].Code, "trial rules: %s", problems[0].Text)
+		return nil, code.Errorf(problems[0].Code, "routing rules of the trial: %s", problems[0].Text)
 	}
 	return rule.Compile(file), nil
 }
--- a/internal/standin/trial/member.go
+++ b/internal/standin/trial/member.go
@@ -22,74 +22,77 @@
 	smallGateways = 3
 	smallServers  = 6
 	smallWork     = 20 * time.Millisecond
-	// smallLag is how late the platform's list of VMs is.
+	// smallLag is the delay until a change shows in the platform's list of VMs.
 	smallLag = 500 * time.Millisecond
-	// smallStart bounds the start of the gateways, and smallStop their end.
-	smallStart = 15 * time.Second
-	smallStop  = 30 * time.Second
-	// smallPoll is how often something that is waited for is looked at, and how
-	// often the balancer asks whether a gateway is ready.
-	smallPoll = 20 * time.Millisecond
+	// startTimeout limits the time for all gateways to start, and stopTimeout that for
+	// them to stop.
+	startTimeout = 15 * time.Second
+	stopTimeout  = 30 * time.Second
+	// pollInterval is the interval of readiness checks, and of other polling.
+	pollInterval = 20 * time.Millisecond
 
 	smallService = "Booking"
-	submitted    = "Rules/Submitted"
-	pathOld      = "/rosters"
-	pathNew      = "/calendars"
-	ruleOld      = "Path=/rosters Service=Booking Deadline=2s # Mei Lin: members browse rosters\n"
-	ruleNew      = "Path=/calendars Service=Booking Deadline=2s # Tan: members browse calendars\n"
+	submittedKey = "Rules/Submitted"
+	initialPath  = "/rosters"
+	addedPath    = "/calendars"
+	initialRule  = "Path=/rosters Service=Booking Deadline=2s # Mei Lin: members browse rosters\n"
+	addedRule    = "Path=/calendars Service=Booking Deadline=2s # Tan: members browse calendars\n"
 )
 
-// small is a running small system.
-type small struct {
-	cfg       SmallConfig
-	platform  *platform.Platform
-	web       *http.Server
-	webEnded  chan error
-	endpoints []*endpoint
-	gateways  []*member
+// smallSystem is a running small system.
+type smallSystem struct {
+	cfg            SmallConfig
+	platform       *platform.Platform
+	platformServer *http.Server
+	platformErr    chan error
+	endpoints      []*endpoint
+	gateways       []*gatewayInstance
 }
 
-// newSmall starts everything, and puts the first rule in force.
-func newSmall(ctx context.Context, cfg SmallConfig) (*small, error) {
-	s := &small{cfg: cfg, platform: platform.New(platform.Config{Lag: smallLag}), webEnded: make(chan error, 1)}
+// newSmallSystem starts all components, and waits until every gateway applies the first
+// routing rule.
+func newSmallSystem(ctx context.Context, cfg SmallConfig) (*smallSystem, error) {
+	s := &smallSystem{cfg: cfg, platform: platform.New(platform.Config{Lag: smallLag}), platformErr: make(chan error, 1)}
 	l, err := listen(ctx)
 	if err != nil {
 		return nil, err
 	}
-	s.web = &http.Server{Handler: s.platform.Handler(), ReadHeaderTimeout: headerTimeout}
-	go func() { s.webEnded <- s.web.Serve(l) }()
+	s.platformServer = &http.Server{Handler: s.platform.Handler(), ReadHeaderTimeout: headerTimeout}
+	go func() { s.platformErr <- s.platformServer.Serve(l) }()
 	if err := s.start(ctx, "http://"+l.Addr().String()); err != nil {
 		return nil, errors.Join(err, s.close())
 	}
 	return s, nil
 }
 
-func (s *small) start(ctx context.Context, platformURL string) error {
+// start starts the endpoint servers and gateways, and waits until every gateway responds
+// to calls.
+func (s *smallSystem) start(ctx context.Context, platformURL string) error {
 	for i := range smallServers {
 		if err := s.addServer(ctx, i); err != nil {
 			return err
 		}
 	}
-	s.platform.Put(submitted, []byte("# Generation 0\n"+ruleOld), -1)
+	s.platform.Put(submittedKey, []byte("# Generation 0\n"+initialRule), -1)
 	for i := range smallGateways {
 		if err := s.addGateway(ctx, i, platformURL); err != nil {
 			return err
 		}
 	}
-	s.tell("Platform, %d servers and %d gateways have started.", smallServers, smallGateways)
-	ctx, cancel := context.WithTimeout(ctx, smallStart)
+	s.logStep("Started the platform, %d servers and %d gateways.", smallServers, smallGateways)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	for _, m := range s.gateways {
-		if err := m.await(ctx, pathOld); err != nil {
+	for _, g := range s.gateways {
+		if err := g.waitForPath(ctx, initialPath); err != nil {
 			return err
 		}
 	}
-	s.tell("Every gateway answers.")
+	s.logStep("Every gateway responds to calls.")
 	return nil
 }
 
-// addServer starts a server and puts it on the platform's list.
-func (s *small) addServer(ctx context.Context, i int) error {
+// addServer starts an endpoint server and adds it to the platform's list of VMs.
+func (s *smallSystem) addServer(ctx context.Context, i int) error {
 	svc := service{name: smallService, connections: 200}
 	cfg := server.Config{Name: fmt.Sprintf("booking-%02d", i), Slots: slotsPerServer, Queue: 2, Work: smallWork}
 	e, err := newEndpoint(ctx, cfg, svc, i%zones)
@@ -104,8 +107,8 @@
 	return nil
 }
 
-// addGateway starts a gateway and puts it on the platform's list.
-func (s *small) addGateway(ctx context.Context, i int, platformURL string) error {
+// addGateway starts a gateway and adds it to the platform's list of VMs.
+func (s *smallSystem) addGateway(ctx context.Context, i int, platformURL string) error {
 	addresses, err := freeAddresses(ctx)
 	if err != nil {
 		return err
@@ -123,11 +126,12 @@
 	s.platform.SetMachine(time.Now(), mustardsaddle.Machine{
 		Name: set.Gateway.Name, Incarnation: 1, Zone: set.Gateway.Zone, Address: set.Gateway.Peer,
 	})
-	s.gateways = append(s.gateways, newMember(ctx, set, s.cfg.Logger))
+	s.gateways = append(s.gateways, newGatewayInstance(ctx, set, s.cfg.Logger))
 	return nil
 }
 
-// freeAddresses returns three addresses that were free a moment ago.
+// freeAddresses returns three loopback addresses with different free ports. It closes
+// them before it returns, so that another process could still take one.
 func freeAddresses(ctx context.Context) ([3]string, error) {
 	var addresses [3]string
 	for i := range addresses {
@@ -141,84 +145,85 @@
 	return addresses, nil
 }
 
-// balance plays the platform's balancer: it asks the gateways whether they are
-// ready, until the context ends.
-func (s *small) balance(ctx context.Context, ended chan<- struct{}) {
-	defer close(ended)
-	for sleep(ctx, smallPoll) == nil {
-		for _, m := range s.gateways {
-			m.live.Store(get(ctx, m.admin("/readyz")) == http.StatusOK)
+// pollReadiness acts as the platform's balancer: it polls the readiness of the gateways
+// until the context ends, and then closes done.
+func (s *smallSystem) pollReadiness(ctx context.Context, done chan<- struct{}) {
+	defer close(done)
+	for sleep(ctx, pollInterval) == nil {
+		for _, g := range s.gateways {
+			g.ready.Store(getStatus(ctx, g.adminURL("/readyz")) == http.StatusOK)
 		}
 	}
 }
 
-// live reports whether the balancer sends calls to a gateway.
-func (s *small) live(target string) bool {
-	for _, m := range s.gateways {
-		if m.url("") == target {
-			return m.live.Load()
+// isReady reports whether the gateway at a base URL was ready when last polled.
+func (s *smallSystem) isReady(target string) bool {
+	for _, g := range s.gateways {
+		if g.callURL("") == target {
+			return g.ready.Load()
 		}
 	}
 	return false
 }
 
-// member is one gateway of a small system.
-type member struct {
+// gatewayInstance is a complete gateway instance that runs in a goroutine.
+type gatewayInstance struct {
 	settings settings.Settings
 	cancel   context.CancelFunc
-	ended    chan error
+	runErr   chan error
 	stopped  bool
-	live     atomic.Bool
+	ready    atomic.Bool
 }
 
-func newMember(ctx context.Context, set settings.Settings, logger zerolog.Logger) *member {
+// newGatewayInstance starts a gateway.
+func newGatewayInstance(ctx context.Context, set settings.Settings, logger zerolog.Logger) *gatewayInstance {
 	ctx, cancel := context.WithCancel(ctx)
-	m := &member{settings: set, cancel: cancel, ended: make(chan error, 1)}
-	m.live.Store(true)
+	g := &gatewayInstance{settings: set, cancel: cancel, runErr: make(chan error, 1)}
+	g.ready.Store(true)
 	go func() {
-		m.ended <- instance.Run(ctx, instance.Config{
+		g.runErr <- instance.Run(ctx, instance.Config{
 			Settings: set, Logger: logger.With().Str("Gateway", set.Gateway.Name).Logger(),
 		})
 	}()
-	return m
+	return g
 }
 
-// url returns the address of a path for callers.
-func (m *member) url(path string) string {
-	return "http://" + m.settings.Gateway.Listen + path
+// callURL returns the URL of a path at the address for callers.
+func (g *gatewayInstance) callURL(path string) string {
+	return "http://" + g.settings.Gateway.Listen + path
 }
 
-// admin returns the address of a path for operators.
-func (m *member) admin(path string) string {
-	return "http://" + m.settings.Gateway.Admin + path
+// adminURL returns the URL of a path at the address for operators.
+func (g *gatewayInstance) adminURL(path string) string {
+	return "http://" + g.settings.Gateway.Admin + path
 }
 
-// await waits until the gateway answers calls to a path.
-func (m *member) await(ctx context.Context, path string) error {
+// waitForPath waits until calls to a path succeed.
+func (g *gatewayInstance) waitForPath(ctx context.Context, path string) error {
 	status := 0
 	for {
-		if status = get(ctx, m.url(path)); status == http.StatusOK {
+		if status = getStatus(ctx, g.callURL(path)); status == http.StatusOK {
 			return nil
 		}
-		if err := sleep(ctx, smallPoll); err != nil {
-			return code.Wrapf(code.CallNotReady, err, "wait for %s at %s: got status %d, want 200", path, m.settings.Gateway.Name, status)
+		if err := sleep(ctx, pollInterval); err != nil {
+			return code.Wrapf(code.CallNotReady, err, "wait for path %s at %s: got status %d, want 200", path, g.settings.Gateway.Name, status)
 		}
 	}
 }
 
-// stop stops the gateway gracefully and returns its error. Only the first stop
-// returns one.
-func (m *member) stop() error {
-	m.cancel()
-	if m.stopped {
+// stop stops the gateway gracefully and returns its error. Calls after the first one have
+// no effect and return nil.
+func (g *gatewayInstance) stop() error {
+	g.cancel()
+	if g.stopped {
 		return nil
 	}
-	m.stopped = true
-	return <-m.ended
+	g.stopped = true
+	return <-g.runErr
 }
 
-// get returns the status of a page, or 0 without an answer.
-func get(ctx context.Context, url string) int {
+// getStatus returns the status code of a GET request, or 0 if the request fails.
+func getStatus(ctx context.Context, url string) int {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
 		return 0
--- a/internal/standin/trial/scenario.go
+++ b/internal/standin/trial/scenario.go
@@ -7,165 +7,167 @@
 	"mustardsaddle.example/mustardsaddle/internal/standin/server"
 )
 
-// scenario is a course of load and faults.
+// scenario is a load profile with a schedule of faults.
 type scenario struct {
 	name string
-	// load is the offered work as a share of all slots.
-	load float64
-	// factors change the load from shares of the duration on.
-	factors []factor
-	// neighbour slows every server down now and then.
+	// utilization is the offered load relative to the capacity of all slots.
+	utilization float64
+	// loadChanges change the offered load during the run, in order of time.
+	loadChanges []loadChange
+	// neighbour is the noisy neighbor of every server; the zero value is none.
 	neighbour server.Neighbour
-	// steps are the faults, in order of time.
-	steps []step
+	// faults are the faults to inject, in order of time.
+	faults []fault
 }
 
-// factor multiplies the load from a share of the duration on.
-type factor struct {
+// loadChange sets the offered load to factor times that of the scenario from a point in
+// the run on; at is a fraction of the run's duration.
+type loadChange struct {
 	at, factor float64
 }
 
-// step is something that happens at a share of the duration.
-type step struct {
-	at float64
-	do func(*system)
+// fault is a fault, or another change of the system, that is injected at a point in
+// the run; at is a fraction of the run's duration.
+type fault struct {
+	at     float64
+	inject func(*system)
 }
 
 // scenarios returns all scenarios.
 func scenarios() []scenario {
 	return []scenario{
-		{name: "Steady50", load: 0.50},
-		{name: "Steady70", load: 0.70},
-		{name: "Steady85", load: 0.85},
-		{name: "Steady95", load: 0.95},
-		{name: "Surge", load: 0.60, factors: []factor{{0.4, 2.5}, {0.6, 1}}},
-		{name: "Stragglers", load: 0.60, steps: []step{{0.2, slowDown(3, 5)}}},
-		{name: "Shifting", load: 0.60, neighbour: server.Neighbour{Factor: 4, Busy: 30 * time.Millisecond, Idle: 200 * time.Millisecond}},
-		{name: "StaleReports", load: 0.80, steps: []step{{0, staleReports(500 * time.Millisecond)}}},
-		{name: "LyingReports", load: 0.80, steps: []step{{0, lie(3)}}},
-		{name: "FailFast", load: 0.60, steps: []step{{0.3, failFast(2, true)}, {0.8, failFast(2, false)}}},
-		{name: "Drain", load: 0.60, steps: []step{{0.3, drain(4)}, {0.6, leave(4)}}},
-		{name: "ColdStart", load: 0.60, steps: []step{{0.3, restart(5, time.Second)}}},
-		{name: "ZoneLost", load: 0.55, steps: []step{{0.4, loseZone(2)}, {0.7, leaveZone(2)}}},
-		{name: "SilentConnections", load: 0.50, steps: []step{{0.4, silence(3)}}},
-		// With the store down the list of servers stays as it was, so that
-		// draining shows in answers and reports alone.
-		{name: "StoreOutage", load: 0.60, steps: []step{{0.3, drain(4)}}},
+		{name: "Steady50", utilization: 0.50},
+		{name: "Steady70", utilization: 0.70},
+		{name: "Steady85", utilization: 0.85},
+		{name: "Steady95", utilization: 0.95},
+		{name: "Surge", utilization: 0.60, loadChanges: []loadChange{{0.4, 2.5}, {0.6, 1}}},
+		{name: "Stragglers", utilization: 0.60, faults: []fault{{0.2, slowDown(3, 5)}}},
+		{name: "Shifting", utilization: 0.60, neighbour: server.Neighbour{Factor: 4, Busy: 30 * time.Millisecond, Idle: 200 * time.Millisecond}},
+		{name: "StaleReports", utilization: 0.80, faults: []fault{{0, setReportInterval(500 * time.Millisecond)}}},
+		{name: "LyingReports", utilization: 0.80, faults: []fault{{0, misreport(3)}}},
+		{name: "FailFast", utilization: 0.60, faults: []fault{{0.3, failFast(2, true)}, {0.8, failFast(2, false)}}},
+		{name: "Drain", utilization: 0.60, faults: []fault{{0.3, drain(4)}, {0.6, markLeaving(4)}}},
+		{name: "ColdStart", utilization: 0.60, faults: []fault{{0.3, restart(5, time.Second)}}},
+		{name: "ZoneLost", utilization: 0.55, faults: []fault{{0.4, stopZone(2)}, {0.7, markZoneLeaving(2)}}},
+		{name: "SilentConnections", utilization: 0.50, faults: []fault{{0.4, silenceConnections(3)}}},
+		// The list of servers is not updated during an outage of the store, so that
+		// gateways learn of draining servers from responses and load reports alone.
+		{name: "StoreOutage", utilization: 0.60, faults: []fault{{0.3, drain(4)}}},
 	}
 }
 
-// scenariosOf returns the scenarios with the given names.
-func scenariosOf(wanted []string) ([]scenario, error) {
-	return selected("scenario", scenarios(), wanted, func(s scenario) string { return s.name })
+// scenariosByName returns the scenarios with the given names.
+func scenariosByName(names []string) ([]scenario, error) {
+	return selectByName("scenario", scenarios(), names, func(s scenario) string { return s.name })
 }
 
-// phases returns the factors as phases of the load.
+// phases returns the load changes of a run as phases of the load generator.
 func (s scenario) phases(duration time.Duration) []load.Phase {
-	var out []load.Phase
-	for _, f := range s.factors {
-		out = append(out, load.Phase{At: time.Duration(f.at * float64(duration)), Factor: f.factor})
+	var phases []load.Phase
+	for _, c := range s.loadChanges {
+		phases = append(phases, load.Phase{At: time.Duration(c.at * float64(duration)), Factor: c.factor})
 	}
-	return out
+	return phases
 }
 
-// slowDown multiplies the working times of n servers.
-func slowDown(n int, by float64) func(*system) {
+// slowDown multiplies the service times of n servers.
+func slowDown(n int, factor float64) func(*system) {
 	return func(sys *system) {
-		for _, e := range sys.first(n) {
-			e.server.SetMode(server.Mode{Factor: by})
+		for _, e := range sys.firstEndpoints(n) {
+			e.server.SetMode(server.Mode{Factor: factor})
 		}
 	}
 }
 
-// staleReports makes every server repeat its report for a while.
-func staleReports(every time.Duration) func(*system) {
+// setReportInterval makes every server update its load report only once per interval.
+func setReportInterval(interval time.Duration) func(*system) {
 	return func(sys *system) {
 		for _, e := range sys.endpoints {
-			e.server.SetMode(server.Mode{ReportEvery: every})
+			e.server.SetMode(server.Mode{ReportEvery: interval})
 		}
 	}
 }
 
-// lie makes n servers report that they are idle, and n others that they are
-// full.
-func lie(n int) func(*system) {
+// misreport makes n servers report that they are idle, and n others that they are full.
+func misreport(n int) func(*system) {
 	return func(sys *system) {
 		idle, full := 0, 8
-		for i, e := range sys.first(2 * n) {
-			says := &idle
+		for i, e := range sys.firstEndpoints(2 * n) {
+			inFlight := &idle
 			if i%2 == 1 {
-				says = &full
+				inFlight = &full
 			}
-			e.server.SetMode(server.Mode{ReportInFlight: says})
+			e.server.SetMode(server.Mode{ReportInFlight: inFlight})
 		}
 	}
 }
 
-// failFast makes n servers answer every request with an error at once.
+// failFast sets whether n servers respond to every request with an error at once.
 func failFast(n int, fail bool) func(*system) {
 	return func(sys *system) {
-		for _, e := range sys.first(n) {
+		for _, e := range sys.firstEndpoints(n) {
 			e.server.SetMode(server.Mode{FailFast: fail})
 		}
 	}
 }
 
-// drain makes n servers refuse new requests and say so.
+// drain makes n servers refuse new requests and report that they are draining.
 func drain(n int) func(*system) {
 	return func(sys *system) {
-		for _, e := range sys.first(n) {
+		for _, e := range sys.firstEndpoints(n) {
 			e.server.SetMode(server.Mode{Draining: true})
 		}
 	}
 }
 
-// leave takes n servers off the list.
-func leave(n int) func(*system) {
+// markLeaving marks n servers as leaving in the list of servers.
+func markLeaving(n int) func(*system) {
 	return func(sys *system) {
-		for _, e := range sys.first(n) {
+		for _, e := range sys.firstEndpoints(n) {
 			e.leaving = true
 		}
-		sys.announce(time.Now())
+		sys.publishServers(time.Now())
 	}
 }
 
-// restart replaces n servers by new ones that are cold.
+// restart restarts n servers, as new incarnations that begin with a cold period.
 func restart(n int, cold time.Duration) func(*system) {
 	return func(sys *system) {
-		for _, e := range sys.first(n) {
+		for _, e := range sys.firstEndpoints(n) {
 			e.server.Restart(cold)
 			e.incarnation++
 		}
-		sys.announce(time.Now())
+		sys.publishServers(time.Now())
 	}
 }
 
-// loseZone ends all servers of a zone.
-func loseZone(zone int) func(*system) {
+// stopZone stops all servers of a zone abruptly.
+func stopZone(zone int) func(*system) {
 	return func(sys *system) {
 		for _, e := range sys.endpoints {
 			if e.zone == zone {
-				// A lost server has nothing left to say.
+				// The servers are meant to fail, so an error does not matter.
 				_ = e.close()
 			}
 		}
 	}
 }
 
-// leaveZone takes all servers of a zone off the list.
-func leaveZone(zone int) func(*system) {
+// markZoneLeaving marks all servers of a zone as leaving in the list of servers.
+func markZoneLeaving(zone int) func(*system) {
 	return func(sys *system) {
 		for _, e := range sys.endpoints {
 			e.leaving = e.leaving || e.zone == zone
 		}
-		sys.announce(time.Now())
+		sys.publishServers(time.Now())
 	}
 }
 
-// silence makes the open connections of n servers go silent.
-func silence(n int) func(*system) {
+// silenceConnections makes the open connections of n servers stop carrying data
+// without being closed.
+func silenceConnections(n int) func(*system) {
 	return func(sys *system) {
-		for _, e := range sys.first(n) {
+		for _, e := range sys.firstEndpoints(n) {
 			for _, l := range e.listeners {
 				l.Silence()
 			}
--- a/internal/standin/trial/small.go
+++ b/internal/standin/trial/small.go
@@ -15,68 +15,68 @@
 )
 
 const (
-	// ruleChangeAt and stopAt are shares of the duration.
+	// ruleChangeAt and stopAt are points in the run, as fractions of its duration.
 	ruleChangeAt = 0.2
 	stopAt       = 0.4
-	// smallLoad is the offered work as a share of all slots.
-	smallLoad = 0.5
+	// smallUtilization is the offered load relative to the capacity of all slots.
+	smallUtilization = 0.5
 )
 
-// SmallConfig configures Small. Zero values mean the defaults.
+// SmallConfig configures RunSmallSystem. Zero values select the defaults.
 type SmallConfig struct {
-	// Duration is how long calls arrive.
+	// Duration is the time during which calls arrive.
 	Duration time.Duration
-	// Seed seeds the calls.
+	// Seed seeds the random generators of the load.
 	Seed uint64
-	// Logger takes the gateways' log events; it may be disabled.
+	// Logger receives the log events of the gateways.
 	Logger zerolog.Logger
-	// Progress, if set, is told each step.
+	// Progress, if set, receives a line for each step of the run.
 	Progress io.Writer
 }
 
-// SmallReport is what Small saw.
+// SmallReport is the result of RunSmallSystem.
 type SmallReport struct {
-	// Load are the calls as their callers saw them.
+	// Load holds the measurements of the load generator.
 	Load load.Result
-	// Runs is the number of executions that the servers counted, and Repeated
-	// the number of attempts that ran more than once.
+	// Runs is the number of executions that the servers counted, and Repeated the
+	// number of attempts that they executed more than once.
 	Runs, Repeated int64
-	// Probes is the number of load probes a second that the servers answered,
-	// and Agreed the budget of all gateways together.
+	// Probes is the number of load probes per second that the servers answered, and
+	// Agreed the limit that was agreed for all gateways together.
 	Probes, Agreed float64
-	// InForce is the time from the submission of a rule until every gateway
-	// followed it.
+	// InForce is the time from the submission of a routing rule until every gateway
+	// applied it.
 	InForce time.Duration
-	// Stop is how long the graceful stop of one gateway took, and Cut the number
-	// of calls without a whole answer in the whole run.
+	// Stop is the time that the graceful stop of one gateway took, and Cut the number
+	// of calls without a complete response in the whole run.
 	Stop time.Duration
 	Cut  int64
 }
 
-// Text returns the report for a reader.
+// Text returns the report as text.
 func (r SmallReport) Text() string {
 	var b strings.Builder
 	b.WriteString(r.Load.Text())
-	fmt.Fprintf(&b, "\nServers counted %d executions; %d attempts ran more than once.\n", r.Runs, r.Repeated)
-	fmt.Fprintf(&b, "Cost of measuring: %.1f probes a second, %.0f agreed.\n", r.Probes, r.Agreed)
-	fmt.Fprintf(&b, "The rule change was in force on every gateway after %.2f s.\n", r.InForce.Seconds())
-	fmt.Fprintf(&b, "One gateway stopped gracefully in %.1f s. Calls cut: %d.\n", r.Stop.Seconds(), r.Cut)
+	fmt.Fprintf(&b, "\nThe servers counted %d executions; %d attempts ran more than once.\n", r.Runs, r.Repeated)
+	fmt.Fprintf(&b, "Load probes: %.1f per second, with an agreed limit of %.0f.\n", r.Probes, r.Agreed)
+	fmt.Fprintf(&b, "Every gateway applied the rule change within %.2f s.\n", r.InForce.Seconds())
+	fmt.Fprintf(&b, "The graceful stop of one gateway took %.1f s. Calls cut: %d.\n", r.Stop.Seconds(), r.Cut)
 	return b.String()
 }
 
-// Small runs a whole small system on the loopback interface: platform, servers,
-// three gateways and load. Meanwhile a rule is changed through the platform's
-// store, and one gateway is stopped gracefully.
-func Small(ctx context.Context, cfg SmallConfig) (SmallReport, error) {
+// RunSmallSystem runs a whole small system on the loopback interface: the platform,
+// endpoint servers, three gateways and a load generator. Under load, it submits a rule
+// change to the platform's object store and gracefully stops one gateway.
+func RunSmallSystem(ctx context.Context, cfg SmallConfig) (SmallReport, error) {
 	if cfg.Duration <= 0 {
 		cfg.Duration = 10 * time.Second
 	}
 	if cfg.Progress == nil {
 		cfg.Progress = io.Discard
 	}
-	ctx, cancel := context.WithTimeout(ctx, cfg.Duration+smallStart+smallStop)
+	ctx, cancel := context.WithTimeout(ctx, cfg.Duration+startTimeout+stopTimeout)
 	defer cancel()
-	s, err := newSmall(ctx, cfg)
+	s, err := newSmallSystem(ctx, cfg)
 	if err != nil {
 		return SmallReport{}, err
 	}
@@ -84,85 +84,88 @@
 	return report, errors.Join(err, s.close())
 }
 
-// run brings the load, the rule change and the stop.
-func (s *small) run(ctx context.Context) (SmallReport, error) {
-	probes, begin := s.probes(), time.Now()
-	watching, stopWatching := context.WithCancel(ctx)
-	watched := make(chan struct{})
-	go s.balance(watching, watched)
-	loaded := make(chan error, 1)
+// run changes a routing rule and stops a gateway while it generates load, and returns
+// the report.
+func (s *smallSystem) run(ctx context.Context) (SmallReport, error) {
+	probesBefore, begin := s.probeCount(), time.Now()
+	pollCtx, stopPolling := context.WithCancel(ctx)
+	pollingDone := make(chan struct{})
+	go s.pollReadiness(pollCtx, pollingDone)
+	loadErr := make(chan error, 1)
 	var r SmallReport
 	go func() {
 		var err error
-		r.Load, err = load.Run(ctx, s.load())
-		loaded <- err
+		r.Load, err = load.Run(ctx, s.loadConfig())
+		loadErr <- err
 	}()
-	changed, err := s.changeRule(ctx, begin)
-	stopped, stopErr := s.stopOne(ctx, begin)
-	err = errors.Join(err, stopErr, <-loaded)
-	stopWatching()
-	<-watched
-	r.InForce, r.Stop = changed, stopped
-	r.Probes = float64(s.probes()-probes) / time.Since(begin).Seconds()
+	changeTime, err := s.changeRule(ctx, begin)
+	stopTime, stopErr := s.stopGateway(ctx, begin)
+	err = errors.Join(err, stopErr, <-loadErr)
+	stopPolling()
+	<-pollingDone
+	r.InForce, r.Stop = changeTime, stopTime
+	r.Probes = float64(s.probeCount()-probesBefore) / time.Since(begin).Seconds()
 	r.Agreed = smallGateways * s.gateways[0].settings.Measuring.MessagesPerSecond
 	r.Cut = r.Load.All.Ends[load.Broken.String()]
-	s.judge(&r)
+	s.countExecutions(&r)
 	return r, err
 }
 
-// load returns the load of the small system.
-func (s *small) load() load.Config {
+// loadConfig returns the configuration of the load generator.
+func (s *smallSystem) loadConfig() load.Config {
 	cfg := load.Config{
-		Streams:  []load.Stream{{Service: "Booking", Path: pathOld, Share: 1}},
-		Rate:     smallLoad * smallServers * slotsPerServer / smallWork.Seconds(),
+		Streams:  []load.Stream{{Service: "Booking", Path: initialPath, Share: 1}},
+		Rate:     smallUtilization * smallServers * slotsPerServer / smallWork.Seconds(),
 		Duration: s.cfg.Duration,
 		Work:     smallWork,
 		Delay:    time.Millisecond,
 		Seed:     s.cfg.Seed,
-		Live:     s.live,
+		Live:     s.isReady,
 	}
-	for _, m := range s.gateways {
-		cfg.Targets = append(cfg.Targets, m.url(""))
+	for _, g := range s.gateways {
+		cfg.Targets = append(cfg.Targets, g.callURL(""))
 	}
 	return cfg
 }
 
-// changeRule submits a rule and waits until every gateway follows it.
-func (s *small) changeRule(ctx context.Context, begin time.Time) (time.Duration, error) {
-	if err := s.until(ctx, begin, ruleChangeAt); err != nil {
+// changeRule submits a new routing rule at its time, waits until every gateway applies
+// it, and returns how long that took.
+func (s *smallSystem) changeRule(ctx context.Context, begin time.Time) (time.Duration, error) {
+	if err := s.waitUntil(ctx, begin, ruleChangeAt); err != nil {
 		return 0, err
 	}
-	s.tell("A rule change is submitted to the platform's store.")
-	since := time.Now()
-	s.platform.Put(submitted, []byte("# Generation 1\n"+ruleOld+ruleNew), -1)
-	for _, m := range s.gateways {
-		if err := m.await(ctx, pathNew); err != nil {
+	s.logStep("Submitting a rule change to the platform's object store.")
+	started := time.Now()
+	s.platform.Put(submittedKey, []byte("# Generation 1\n"+initialRule+addedRule), -1)
+	for _, g := range s.gateways {
+		if err := g.waitForPath(ctx, addedPath); err != nil {
 			return 0, err
 		}
 	}
-	return time.Since(since), nil
+	return time.Since(started), nil
 }
 
-// stopOne stops the last gateway gracefully.
-func (s *small) stopOne(ctx context.Context, begin time.Time) (time.Duration, error) {
-	if err := s.until(ctx, begin, stopAt); err != nil {
+// stopGateway gracefully stops the last gateway at its time, and returns how long that
+// took.
+func (s *smallSystem) stopGateway(ctx context.Context, begin time.Time) (time.Duration, error) {
+	if err := s.waitUntil(ctx, begin, stopAt); err != nil {
 		return 0, err
 	}
-	m := s.gateways[len(s.gateways)-1]
-	s.tell("%s is told to stop.", m.settings.Gateway.Name)
-	since := time.Now()
-	err := m.stop()
-	return time.Since(since), err
+	g := s.gateways[len(s.gateways)-1]
+	s.logStep("Stopping %s gracefully.", g.settings.Gateway.Name)
+	started := time.Now()
+	err := g.stop()
+	return time.Since(started), err
 }
 
-// until waits for a share of the duration.
-func (s *small) until(ctx context.Context, begin time.Time, share float64) error {
-	at := begin.Add(time.Duration(share * float64(s.cfg.Duration)))
+// waitUntil waits until a point in the run, given as a fraction of its duration.
+func (s *smallSystem) waitUntil(ctx context.Context, begin time.Time, fraction float64) error {
+	at := begin.Add(time.Duration(fraction * float64(s.cfg.Duration)))
 	return sleep(ctx, time.Until(at))
 }
 
-// judge takes the servers' counts into the report.
-func (s *small) judge(r *SmallReport) {
+// countExecutions adds the servers' execution counts to the report.
+func (s *smallSystem) countExecutions(r *SmallReport) {
 	for _, e := range s.endpoints {
 		count := e.server.Count()
 		r.Runs += count.Total
@@ -174,8 +177,8 @@
 	}
 }
 
-// probes returns how many load probes the servers have answered.
-func (s *small) probes() int64 {
+// probeCount returns the number of load probes that the servers have answered so far.
+func (s *smallSystem) probeCount() int64 {
 	var n int64
 	for _, e := range s.endpoints {
 		n += e.server.Count().Probes
@@ -183,28 +186,28 @@
 	return n
 }
 
-// close ends everything that still runs.
-func (s *small) close() error {
+// close stops every component that still runs.
+func (s *smallSystem) close() error {
 	var errs []error
-	for _, m := range s.gateways {
-		errs = append(errs, m.stop())
+	for _, g := range s.gateways {
+		errs = append(errs, g.stop())
 	}
 	for _, e := range s.endpoints {
 		errs = append(errs, e.close())
 	}
-	errs = append(errs, s.web.Close())
-	if err := <-s.webEnded; !errors.Is(err, http.ErrServerClosed) {
+	errs = append(errs, s.platformServer.Close())
+	if err := <-s.platformErr; !errors.Is(err, http.ErrServerClosed) {
 		errs = append(errs, err)
 	}
 	return errors.Join(errs...)
 }
 
-// tell reports a step.
-func (s *small) tell(format string, args ...any) {
+// logStep writes a progress line.
+func (s *smallSystem) logStep(format string, args ...any) {
 	_, _ = fmt.Fprintf(s.cfg.Progress, format+"\n", args...)
 }
 
-// sleep waits for a while, or returns the error of the context.
+// sleep waits for a duration, or until the context ends, whose error it then returns.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/standin/trial/system.go
+++ b/internal/standin/trial/system.go
@@ -17,37 +17,39 @@
 
 //go:generate go tool -modfile=../../../tools/go.mod stringer -type=Network -output=network_string.go
 
-// Network is a users' network, with its sizes and delays.
+// Network selects the size and the delays of a user's network.
 type Network int
 
 const (
-	// ShedNetwork has 20 servers for bookings and 6 for the library, and 1 ms
-	// to callers.
+	// ShedNetwork has 20 servers for the Booking service, 6 for Library, and a one-way
+	// delay of 1 ms between callers and gateways.
 	ShedNetwork Network = iota
-	// Bureau has 30 servers for orders and 6 for the archive, and 3 ms to
-	// callers.
+	// Bureau has 30 servers for the Orders service, 6 for Archive, and a one-way delay
+	// of 3 ms between callers and gateways.
 	Bureau
 )
 
 const (
-	zones            = 3
-	gateways         = 15
-	slotsPerServer   = 2
-	delayBetweenZone = 500 * time.Microsecond
-	headerTimeout    = 5 * time.Second
-	// maxCalls bounds the calls in flight, each of which may hold a connection
-	// at both ends in this one process.
-	maxCalls = 1000
+	zones          = 3
+	numGateways    = 15
+	slotsPerServer = 2
+	crossZoneDelay = 500 * time.Microsecond
+	headerTimeout  = 5 * time.Second
+	// maxInFlight limits the calls in flight. Each one may hold both ends of a
+	// connection, since callers, gateways and servers share this process.
+	maxInFlight = 1000
 )
 
-// service is one service of a network.
+// service is a service of a Network. Each of its servers accepts the given number of
+// connections.
 type service struct {
 	name        string
 	servers     int
 	connections int
 }
 
-// layout returns the services of a network and the delay to callers.
+// layout returns the services of a network, and the one-way delay between callers and
+// gateways.
 func (n Network) layout() ([]service, time.Duration) {
 	if n == Bureau {
 		return []service{{"Orders", 30, 250}, {"Archive", 6, 250}}, 3 * time.Millisecond
@@ -55,13 +57,13 @@
 	return []service{{"Booking", 20, 200}, {"Library", 6, 200}}, time.Millisecond
 }
 
-// zoneName returns the name of a zone.
+// zoneName returns the name of an availability zone.
 func zoneName(zone int) string {
 	return string(rune('a' + zone))
 }
 
-// endpoint is a stand-in server with one address for each zone, so that the
-// delay depends on where a request comes from.
+// endpoint is a stand-in endpoint server. It listens on one address per zone, so that
+// the delay of a request depends on the zone that it comes from.
 type endpoint struct {
 	name        string
 	service     string
@@ -71,20 +73,20 @@
 	leaving     bool
 	server      *server.Server
 	listeners   []*server.SilentListener
-	https       []*http.Server
-	ended       chan error
+	httpServers []*http.Server
+	serveErrs   chan error
 }
 
-// newEndpoint starts a server.
+// newEndpoint starts an endpoint server.
 func newEndpoint(ctx context.Context, cfg server.Config, svc service, zone int) (*endpoint, error) {
 	e := &endpoint{
 		name: cfg.Name, service: svc.name, zone: zone, connections: svc.connections, incarnation: 1,
-		server: server.New(cfg), ended: make(chan error, zones),
+		server: server.New(cfg), serveErrs: make(chan error, zones),
 	}
 	for from := range zones {
 		delay := time.Duration(0)
 		if from != zone {
-			delay = delayBetweenZone
+			delay = crossZoneDelay
 		}
 		l, err := listen(ctx)
 		if err != nil {
@@ -93,18 +95,19 @@
 		srv := &http.Server{Handler: server.Distant(e.server.Handler(), delay), ReadHeaderTimeout: headerTimeout}
 		silent := server.NewSilentListener(l)
 		e.listeners = append(e.listeners, silent)
-		e.https = append(e.https, srv)
-		go func() { e.ended <- srv.Serve(silent) }()
+		e.httpServers = append(e.httpServers, srv)
+		go func() { e.serveErrs <- srv.Serve(silent) }()
 	}
 	return e, nil
 }
 
+// listen listens on a free port of the loopback interface.
 func listen(ctx context.Context) (net.Listener, error) {
 	lc := net.ListenConfig{}
 	return lc.Listen(ctx, "tcp", "127.0.0.1:0")
 }
 
-// entry returns the server as the gateways of a zone see it.
+// entry returns the server's entry in the list of servers for the gateways of a zone.
 func (e *endpoint) entry(from int) mustardsaddle.Server {
 	return mustardsaddle.Server{
 		Name: e.name, Incarnation: e.incarnation, Address: e.listeners[from].Addr().String(),
@@ -112,76 +115,76 @@
 	}
 }
 
-// close ends the server and cuts its connections.
+// close stops the server abruptly and closes its connections.
 func (e *endpoint) close() error {
 	var errs []error
-	for _, srv := range e.https {
+	for _, srv := range e.httpServers {
 		errs = append(errs, srv.Close())
 	}
-	for range e.https {
-		if err := <-e.ended; !errors.Is(err, http.ErrServerClosed) {
+	for range e.httpServers {
+		if err := <-e.serveErrs; !errors.Is(err, http.ErrServerClosed) {
 			errs = append(errs, err)
 		}
 	}
-	e.https = nil
+	e.httpServers = nil
 	return errors.Join(errs...)
 }
 
-// node is a gateway with its address.
-type node struct {
-	zone  int
-	front *front
-	url   string
-	http  *http.Server
-	ended chan error
+// gatewayServer is an HTTP server that runs a gatewayHandler.
+type gatewayServer struct {
+	zone       int
+	handler    *gatewayHandler
+	url        string
+	httpServer *http.Server
+	serveErr   chan error
 }
 
-// newNode starts a gateway.
-func newNode(ctx context.Context, cfg frontConfig, zone int) (*node, error) {
+// newGatewayServer starts a gateway.
+func newGatewayServer(ctx context.Context, cfg handlerConfig, zone int) (*gatewayServer, error) {
 	l, err := listen(ctx)
 	if err != nil {
 		return nil, err
 	}
-	f, err := newFront(ctx, cfg)
+	h, err := newGatewayHandler(ctx, cfg)
 	if err != nil {
 		return nil, errors.Join(err, l.Close())
 	}
-	n := &node{
-		zone: zone, front: f, url: "http://" + l.Addr().String(),
-		http: gateway.NewServer(gateway.ServerConfig{Handler: f.gateway}), ended: make(chan error, 1),
+	g := &gatewayServer{
+		zone: zone, handler: h, url: "http://" + l.Addr().String(),
+		httpServer: gateway.NewServer(gateway.ServerConfig{Handler: h.gateway}), serveErr: make(chan error, 1),
 	}
-	go func() { n.ended <- n.http.Serve(l) }()
-	return n, nil
+	go func() { g.serveErr <- g.httpServer.Serve(l) }()
+	return g, nil
 }
 
-// close ends the gateway.
-func (n *node) close() error {
-	_ = n.http.Close()
-	err := <-n.ended
-	n.front.close()
+// close stops the gateway.
+func (g *gatewayServer) close() error {
+	_ = g.httpServer.Close()
+	err := <-g.serveErr
+	g.handler.close()
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
 	return err
 }
 
-// system is a whole small system.
+// system is the system under test of one run: its endpoint servers and gateways.
 type system struct {
 	services  []service
 	delay     time.Duration
 	endpoints []*endpoint
-	nodes     []*node
+	gateways  []*gatewayServer
 }
 
-// newSystem starts the servers and the gateways of a run.
-func newSystem(ctx context.Context, cfg CompareConfig, j job) (*system, error) {
+// newSystem starts the endpoint servers and gateways of a run.
+func newSystem(ctx context.Context, cfg CompareConfig, plan runPlan) (*system, error) {
 	sys := &system{}
 	sys.services, sys.delay = cfg.Network.layout()
 	for _, svc := range sys.services {
 		for i := range svc.servers {
 			e, err := newEndpoint(ctx, server.Config{
 				Name: fmt.Sprintf("%s-%02d", svc.name, i), Slots: slotsPerServer, Queue: cfg.Queue, Work: cfg.Work,
-				Neighbour: j.scenario.neighbour, Seed: cfg.Seed + uint64(len(sys.endpoints)),
+				Neighbour: plan.scenario.neighbour, Seed: cfg.Seed + uint64(len(sys.endpoints)),
 			}, svc, i%zones)
 			if err != nil {
 				return nil, errors.Join(err, sys.close())
@@ -189,25 +192,25 @@
 			sys.endpoints = append(sys.endpoints, e)
 		}
 	}
-	fleet := fleetOf(j.candidate)
+	fleet := newFleet(plan.candidate)
 	for i, vm := range fleet {
-		node, err := newNode(ctx, frontConfig{
+		g, err := newGatewayServer(ctx, handlerConfig{
 			timeout: cfg.Timeout,
-			name:    vm.Name, zone: vm.Zone, candidate: j.candidate,
+			name:    vm.Name, zone: vm.Zone, candidate: plan.candidate,
 			services: sys.services, fleet: fleet, seed: cfg.Seed<<8 + uint64(i),
 		}, i%zones)
 		if err != nil {
 			return nil, errors.Join(err, sys.close())
 		}
-		sys.nodes = append(sys.nodes, node)
+		sys.gateways = append(sys.gateways, g)
 	}
-	sys.announce(time.Now())
+	sys.publishServers(time.Now())
 	return sys, nil
 }
 
-// fleetOf returns the gateways of a candidate.
-func fleetOf(c candidate) []mustardsaddle.VM {
-	n := gateways
+// newFleet returns the VMs of the gateways that a candidate runs on.
+func newFleet(c candidate) []mustardsaddle.VM {
+	n := numGateways
 	if c.central {
 		n = 1
 	}
@@ -218,46 +221,46 @@
 	return fleet
 }
 
-// announce tells the gateways the servers.
-func (sys *system) announce(now time.Time) {
-	for _, n := range sys.nodes {
+// publishServers sends the current list of servers to all gateways.
+func (sys *system) publishServers(now time.Time) {
+	for _, g := range sys.gateways {
 		for _, svc := range sys.services {
 			var servers []mustardsaddle.Server
 			for _, e := range sys.endpoints {
 				if e.service == svc.name {
-					servers = append(servers, e.entry(n.zone))
+					servers = append(servers, e.entry(g.zone))
 				}
 			}
-			n.front.gateway.SetServers(now, svc.name, servers)
+			g.handler.gateway.SetServers(now, svc.name, servers)
 		}
 	}
 }
 
-// first returns the first n servers of the first service.
-func (sys *system) first(n int) []*endpoint {
+// firstEndpoints returns the first n servers of the first service.
+func (sys *system) firstEndpoints(n int) []*endpoint {
 	return sys.endpoints[:n]
 }
 
-// slots returns how many slots the servers have.
+// slots returns the number of slots of all servers.
 func (sys *system) slots() int {
 	return len(sys.endpoints) * slotsPerServer
 }
 
-// load returns the load of a scenario on the system.
-func (sys *system) load(cfg CompareConfig, j job) load.Config {
+// loadConfig returns the configuration of the load generator for a run.
+func (sys *system) loadConfig(cfg CompareConfig, plan runPlan) load.Config {
 	out := load.Config{
-		Rate:     j.scenario.load * float64(sys.slots()) / cfg.Work.Seconds(),
-		Phases:   j.scenario.phases(cfg.Duration),
+		Rate:     plan.scenario.utilization * float64(sys.slots()) / cfg.Work.Seconds(),
+		Phases:   plan.scenario.phases(cfg.Duration),
 		Warmup:   warmup,
 		Duration: cfg.Duration,
 		Work:     cfg.Work,
 		Delay:    sys.delay,
 		Timeout:  cfg.Timeout + time.Second,
-		InFlight: maxCalls,
-		Seed:     cfg.Seed + uint64(j.repetition),
+		InFlight: maxInFlight,
+		Seed:     cfg.Seed + uint64(plan.repetition),
 	}
-	for _, n := range sys.nodes {
-		out.Targets = append(out.Targets, n.url)
+	for _, g := range sys.gateways {
+		out.Targets = append(out.Targets, g.url)
 	}
 	for _, svc := range sys.services {
 		out.Streams = append(out.Streams, load.Stream{Service: svc.name, Path: "/" + svc.name, Share: float64(svc.servers)})
@@ -265,27 +268,28 @@
 	return out
 }
 
-// steps applies the faults at their times, and sends once it has ended.
-func (sys *system) steps(ctx context.Context, steps []step, duration time.Duration, ended chan<- struct{}) {
-	defer close(ended)
+// injectFaults injects the faults at their times, until all are injected or the
+// context ends, and then closes done.
+func (sys *system) injectFaults(ctx context.Context, faults []fault, duration time.Duration, done chan<- struct{}) {
+	defer close(done)
 	begin := time.Now()
-	for _, s := range steps {
-		timer := time.NewTimer(time.Until(begin.Add(time.Duration(s.at * float64(duration)))))
+	for _, f := range faults {
+		timer := time.NewTimer(time.Until(begin.Add(time.Duration(f.at * float64(duration)))))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
 		case <-timer.C:
-			s.do(sys)
+			f.inject(sys)
 		}
 	}
 }
 
-// close ends the gateways, then the servers.
+// close stops the gateways, then the endpoint servers.
 func (sys *system) close() error {
 	var errs []error
-	for _, n := range sys.nodes {
-		errs = append(errs, n.close())
+	for _, g := range sys.gateways {
+		errs = append(errs, g.close())
 	}
 	for _, e := range sys.endpoints {
 		errs = append(errs, e.close())
@@ -293,53 +297,53 @@
 	return errors.Join(errs...)
 }
 
-// runOne makes one run.
-func runOne(ctx context.Context, cfg CompareConfig, j job) (Figures, error) {
-	sys, err := newSystem(ctx, cfg, j)
+// runOne executes one run on a new system.
+func runOne(ctx context.Context, cfg CompareConfig, plan runPlan) (Figures, error) {
+	sys, err := newSystem(ctx, cfg, plan)
 	if err != nil {
 		return Figures{}, err
 	}
-	figures, err := sys.run(ctx, cfg, j)
+	figures, err := sys.run(ctx, cfg, plan)
 	return figures, errors.Join(err, sys.close())
 }
 
-// run brings the load and the faults of a run.
-func (sys *system) run(ctx context.Context, cfg CompareConfig, j job) (Figures, error) {
+// run generates the load of a run, injects its faults, and returns the measurements.
+func (sys *system) run(ctx context.Context, cfg CompareConfig, plan runPlan) (Figures, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ended := make(chan struct{})
-	go sys.steps(ctx, j.scenario.steps, cfg.Duration, ended)
+	faultsDone := make(chan struct{})
+	go sys.injectFaults(ctx, plan.scenario.faults, cfg.Duration, faultsDone)
 	begin := time.Now()
 	cpu := processorTime()
-	result, err := load.Run(ctx, sys.load(cfg, j))
+	result, err := load.Run(ctx, sys.loadConfig(cfg, plan))
 	cpu = processorTime() - cpu
 	elapsed := time.Since(begin).Seconds()
-	cut := ctx.Err()
+	ctxErr := ctx.Err()
 	cancel()
-	<-ended
-	if err := errors.Join(err, cut); err != nil {
+	<-faultsDone
+	if err := errors.Join(err, ctxErr); err != nil {
 		return Figures{}, err
 	}
 	return sys.figures(cfg, result, cpu, elapsed), nil
 }
 
-// figures sums up a run.
+// figures returns the measurements of a run.
 func (sys *system) figures(cfg CompareConfig, r load.Result, cpu time.Duration, seconds float64) Figures {
-	var cost report.Cost
-	for _, n := range sys.nodes {
-		c := n.front.budget.Stats().Spent
-		cost.Messages += c.Messages
-		cost.Bytes += c.Bytes
+	var probeCost report.Cost
+	for _, g := range sys.gateways {
+		c := g.handler.probeBudget.Stats().Spent
+		probeCost.Messages += c.Messages
+		probeCost.Bytes += c.Bytes
 	}
-	var shed int64
+	var sheds int64
 	for _, e := range sys.endpoints {
-		shed += e.server.Count().Shed
+		sheds += e.server.Count().Shed
 	}
 	f := Figures{
 		Calls: r.All.Calls, P50: r.All.P50, P99: r.All.P99, P999: r.All.P999, Within99: r.All.Within99, Goodput: r.All.Goodput,
 		Failed: r.All.Share(load.Failed), NotRun: r.All.Share(load.NotRun), Unknown: r.All.Share(load.Unknown),
-		Broken: r.All.Share(load.Broken) + r.All.Share(load.Dropped), Sheds: float64(shed) / seconds,
-		Probes: float64(cost.Messages) / seconds, ProbeBytes: float64(cost.Bytes) / seconds,
+		Broken: r.All.Share(load.Broken) + r.All.Share(load.Dropped), Sheds: float64(sheds) / seconds,
+		Probes: float64(probeCost.Messages) / seconds, ProbeBytes: float64(probeCost.Bytes) / seconds,
 	}
 	if cfg.Parallel == 1 && r.All.Calls > 0 {
 		f.ProcessorMicros = float64(cpu.Microseconds()) / float64(r.All.Calls)
--- a/internal/standin/trial/trial.go
+++ b/internal/standin/trial/trial.go
@@ -1,17 +1,17 @@
-// Package trial runs whole small systems in one process over loopback sockets:
-// stand-in endpoint servers, gateways and open-loop callers. Compare sets the
-// policies of choice against each other in scenarios of load and faults.
+// Package trial runs end-to-end benchmarks of whole small systems in one process over
+// loopback sockets: stand-in endpoint servers, gateways and an open-loop load generator.
+// Compare compares load balancing policies, the candidates, in scenarios of load and
+// faults. RunSmallSystem tests a rule change and a graceful stop under load.
 //
-// A system has the sizes and the delays of one of the users' networks: 15
-// gateways in three availability zones, two services, two slots a server. A
-// one-way delay between availability zones is added in front of each server,
-// and one between callers and gateways by the callers. All candidates of one
-// repetition get the same calls with the same working times, in an order that
-// changes with the repetition.
+// A system has the size and the delays of a user's network: 15 gateways in three
+// availability zones, two services, and two slots per server. The servers add the
+// one-way delay between availability zones, the load generator that between callers and
+// gateways. Within a repetition, all candidates get the same calls with the same service
+// times; the order in which the candidates run changes with the repetition.
 //
-// The CentralQueue candidate is the best known placement: one gateway that
-// knows every slot exactly and holds calls back until one is free. The ratio of
-// the other candidates to it shows what is left to win.
+// The CentralQueue candidate is the reference: a single gateway that knows the exact
+// state of every slot and queues calls until a slot is free. The ratio of another
+// candidate to it shows how much that candidate could be improved.
 //
 // # Usage
 //
@@ -30,42 +30,43 @@
 )
 
 const (
-	// setup is about how long a system takes to start and stop.
-	setup = 400 * time.Millisecond
-	// warmup is the time at the start of a run that is not recorded.
+	// setupTime is the approximate time to start and stop a system.
+	setupTime = 400 * time.Millisecond
+	// warmup is the time at the start of a run that the measurements leave out.
 	warmup = 500 * time.Millisecond
 )
 
-// CompareConfig configures Compare. Zero values mean the defaults.
+// CompareConfig configures Compare. Zero values select the defaults.
 type CompareConfig struct {
-	// Scenarios are names of scenarios; none or "all" means all.
+	// Scenarios are the names of the scenarios; none or "all" selects all of them.
 	Scenarios []string
-	// Candidates are names of candidates; none means all.
+	// Candidates are the names of the candidates; none or "all" selects all of them.
 	Candidates []string
-	// Network is the users' network whose sizes and delays apply.
+	// Network selects the size and the delays of the systems.
 	Network Network
-	// Duration is how long calls arrive in one run.
+	// Duration is the time during which calls arrive in one run, warmup included.
 	Duration time.Duration
-	// Repetitions is how often each scenario is run with each candidate.
+	// Repetitions is the number of runs of each scenario with each candidate.
 	Repetitions int
-	// Parallel is how many systems run at a time.
+	// Parallel is the number of systems that run concurrently.
 	Parallel int
-	// Limit bounds the whole comparison; fewer repetitions are made to fit.
+	// Limit limits the time of the whole comparison. Fewer repetitions are run if
+	// necessary.
 	Limit time.Duration
-	// Work is the mean working time of a call.
+	// Work is the mean service time of a call.
 	Work time.Duration
-	// Queue is how many calls wait at a server beyond its slots.
+	// Queue is the number of calls that may wait at a server while its slots are taken.
 	Queue int
-	// Timeout bounds a call in a gateway; 0 means 2 s. On a machine that is busy
-	// with other things, calls pass it that a quiet machine answers.
+	// Timeout is the timeout of a call in a gateway; 0 means 2 s. On a machine under
+	// other load, calls may exceed it that would succeed on an idle machine.
 	Timeout time.Duration
-	// Seed seeds arrivals, targets and working times.
+	// Seed seeds the random generators of arrivals, targets and service times.
 	Seed uint64
-	// Progress, if set, is told each run that ended.
+	// Progress, if set, is called after each successful run.
 	Progress func(Run)
 }
 
-// withDefaults returns c with the defaults in place of zero values.
+// withDefaults returns c with zero values replaced by the defaults.
 func (c CompareConfig) withDefaults() CompareConfig {
 	if c.Duration <= warmup {
 		c.Duration = 4 * time.Second
@@ -94,7 +95,7 @@
 	return c
 }
 
-// Run is one run of one candidate in one scenario.
+// Run is the result of one run of a scenario with a candidate.
 type Run struct {
 	Scenario   string
 	Candidate  string
@@ -102,127 +103,130 @@
 	Figures    Figures
 }
 
-// job is a run that is to be made.
-type job struct {
+// runPlan is a run to execute.
+type runPlan struct {
 	scenario   scenario
 	candidate  candidate
 	repetition int
 }
 
-// done is a run that was made.
-type done struct {
-	job     job
+// completedRun is a run that was executed, and its error if it failed.
+type completedRun struct {
+	plan    runPlan
 	figures Figures
 	err     error
 }
 
-// Compare runs each scenario with each candidate. When the context ends, or the
-// limit is reached, the report holds the runs made so far and says so.
+// Compare runs each scenario with each candidate. If the context ends or the time limit
+// is reached, the report contains the runs completed so far, which are then fewer than
+// Report.Planned.
 func Compare(ctx context.Context, cfg CompareConfig) (Report, error) {
 	cfg = cfg.withDefaults()
-	scenarios, err := scenariosOf(cfg.Scenarios)
+	scenarios, err := scenariosByName(cfg.Scenarios)
 	if err != nil {
 		return Report{}, err
 	}
-	candidates, err := candidatesOf(cfg.Candidates)
+	candidates, err := candidatesByName(cfg.Candidates)
 	if err != nil {
 		return Report{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, cfg.Limit)
 	defer cancel()
-	reps := repetitions(cfg, len(scenarios)*len(candidates))
-	jobs := plan(scenarios, candidates, reps)
-	report := newReport(cfg, reps, len(jobs))
-	var first error
-	for d := range runAll(ctx, cfg, jobs) {
-		if d.err != nil && first == nil && ctx.Err() == nil {
-			first = d.err
+	reps := affordableRepetitions(cfg, len(scenarios)*len(candidates))
+	plans := planRuns(scenarios, candidates, reps)
+	report := newReport(cfg, reps, len(plans))
+	var firstErr error
+	for c := range runAll(ctx, cfg, plans) {
+		if c.err != nil && firstErr == nil && ctx.Err() == nil {
+			firstErr = c.err
 		}
-		if d.err != nil {
+		if c.err != nil {
 			continue
 		}
-		run := Run{Scenario: d.job.scenario.name, Candidate: d.job.candidate.name, Repetition: d.job.repetition, Figures: d.figures}
+		run := Run{Scenario: c.plan.scenario.name, Candidate: c.plan.candidate.name, Repetition: c.plan.repetition, Figures: c.figures}
 		report.Runs = append(report.Runs, run)
 		if cfg.Progress != nil {
 			cfg.Progress(run)
 		}
 	}
-	report.finish(scenarios, candidates)
-	return report, first
+	report.addRows(scenarios, candidates)
+	return report, firstErr
 }
 
-// repetitions returns how many repetitions fit the limit, and at least one.
-func repetitions(cfg CompareConfig, runs int) int {
-	one := time.Duration(runs) * (cfg.Duration + setup) / time.Duration(cfg.Parallel)
-	return max(1, min(cfg.Repetitions, int(cfg.Limit/max(1, one))))
+// affordableRepetitions returns the number of repetitions that fit the time limit, at
+// least one. A repetition consists of the given number of runs.
+func affordableRepetitions(cfg CompareConfig, runs int) int {
+	repetitionTime := time.Duration(runs) * (cfg.Duration + setupTime) / time.Duration(cfg.Parallel)
+	return max(1, min(cfg.Repetitions, int(cfg.Limit/max(1, repetitionTime))))
 }
 
-// plan orders the runs: the candidates of one repetition next to each other, in
-// an order that changes with the repetition.
-func plan(scenarios []scenario, candidates []candidate, repetitions int) []job {
-	var jobs []job
+// planRuns returns the runs in order of execution. Within a repetition, the runs of a
+// scenario with all candidates follow one another, starting with a different candidate
+// in each repetition.
+func planRuns(scenarios []scenario, candidates []candidate, repetitions int) []runPlan {
+	var plans []runPlan
 	for rep := range repetitions {
 		for _, s := range scenarios {
 			for i := range candidates {
-				jobs = append(jobs, job{scenario: s, candidate: candidates[(i+rep)%len(candidates)], repetition: rep})
+				plans = append(plans, runPlan{scenario: s, candidate: candidates[(i+rep)%len(candidates)], repetition: rep})
 			}
 		}
 	}
-	return jobs
+	return plans
 }
 
-// runAll makes the runs and sends each as it ends; the channel is closed after
-// the last.
-func runAll(ctx context.Context, cfg CompareConfig, jobs []job) <-chan done {
-	todo, ended := make(chan job), make(chan done)
-	stopped := make(chan struct{})
+// runAll executes the runs with cfg.Parallel workers and returns a channel of completed
+// runs, which is closed after the last one. It starts no more runs once the context ends.
+func runAll(ctx context.Context, cfg CompareConfig, plans []runPlan) <-chan completedRun {
+	pending, completed := make(chan runPlan), make(chan completedRun)
+	workerDone := make(chan struct{})
 	for range cfg.Parallel {
 		go func() {
-			for j := range todo {
-				figures, err := runOne(ctx, cfg, j)
-				ended <- done{job: j, figures: figures, err: err}
+			for plan := range pending {
+				figures, err := runOne(ctx, cfg, plan)
+				completed <- completedRun{plan: plan, figures: figures, err: err}
 			}
-			stopped <- struct{}{}
+			workerDone <- struct{}{}
 		}()
 	}
 	go func() {
-		defer close(ended)
-		for _, j := range jobs {
+		defer close(completed)
+		for _, plan := range plans {
 			if ctx.Err() != nil {
 				break
 			}
-			todo <- j
+			pending <- plan
 		}
-		close(todo)
+		close(pending)
 		for range cfg.Parallel {
-			<-stopped
+			<-workerDone
 		}
 	}()
-	return ended
+	return completed
 }
 
-// names joins the names of things for an error.
-func names[T any](things []T, name func(T) string) string {
-	all := make([]string, len(things))
-	for i, t := range things {
-		all[i] = name(t)
+// joinNames returns the names of all items, separated by commas.
+func joinNames[T any](items []T, nameOf func(T) string) string {
+	names := make([]string, len(items))
+	for i, item := range items {
+		names[i] = nameOf(item)
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(names, ", ")
 }
 
-// selected returns the things with the wanted names, and all if none or "all"
-// is wanted.
-func selected[T any](what string, things []T, wanted []string, name func(T) string) ([]T, error) {
-	if len(wanted) == 0 || slices.Contains(wanted, "all") {
-		return things, nil
-	}
-	var out []T
-	for _, w := range wanted {
-		i := slices.IndexFunc(things, func(t T) bool { return strings.EqualFold(name(t), w) })
+// selectByName returns the items with the given names, compared without regard to case,
+// or all items if names is empty or contains "all". kind is the kind of item for errors.
+func selectByName[T any](kind string, items []T, names []string, nameOf func(T) string) ([]T, error) {
+	if len(names) == 0 || slices.Contains(names, "all") {
+		return items, nil
+	}
+	var matches []T
+	for _, name := range names {
+		i := slices.IndexFunc(items, func(item T) bool { return strings.EqualFold(nameOf(item), name) })
 		if i < 0 {
-			return nil, code.Errorf(code.SettingsBadValue, "compare: got %s %q, want one of %s", what, w, names(things, name))
+			return nil, code.Errorf(code.SettingsBadValue, "compare: got %s %q, want one of %s", kind, name, joinNames(items, nameOf))
 		}
-		out = append(out, things[i])
+		matches = append(matches, items[i])
 	}
-	return out, nil
+	return matches, nil
 }
--- a/internal/standin/trial/trial_test.go
+++ b/internal/standin/trial/trial_test.go
@@ -14,16 +14,16 @@
 
 func TestCompare(t *testing.T) {
 	convey.Convey("Given a short comparison of two candidates at low load", t, func() {
-		told := 0
+		progressCalls := 0
 		report, err := trial.Compare(context.Background(), trial.CompareConfig{
 			Scenarios: []string{"steady50", "Drain"}, Candidates: []string{"CentralQueue", "PreferredSpill+Next"},
 			Duration: 900 * time.Millisecond, Repetitions: 1, Parallel: 2,
-			// No call may end by its time limit, however busy the machine is.
+			// Long enough that no call times out, however busy the machine is.
 			Timeout:  2 * time.Minute,
-			Progress: func(trial.Run) { told++ },
+			Progress: func(trial.Run) { progressCalls++ },
 		})
 		convey.So(err, convey.ShouldBeNil)
-		convey.So(told, convey.ShouldEqual, 4)
+		convey.So(progressCalls, convey.ShouldEqual, 4)
 		convey.So(report.Rows, convey.ShouldHaveLength, 4)
 		for _, row := range report.Rows {
 			convey.So(row.Median.Goodput, convey.ShouldBeGreaterThan, 0)
@@ -33,14 +33,14 @@
 		_, err = json.Marshal(report)
 		convey.So(err, convey.ShouldBeNil)
 	})
-	convey.Convey("Given an unknown name, it is refused with the known ones", t, func() {
+	convey.Convey("An unknown name is an error that lists the known names", t, func() {
 		_, err := trial.Compare(context.Background(), trial.CompareConfig{Scenarios: []string{"Calm"}})
 		convey.So(code.Of(err), convey.ShouldEqual, code.SettingsBadValue)
 		convey.So(err.Error(), convey.ShouldContainSubstring, `compare: got scenario "Calm", want one of Steady50, `)
 		_, err = trial.Compare(context.Background(), trial.CompareConfig{Candidates: []string{"Best"}})
 		convey.So(err.Error(), convey.ShouldContainSubstring, `got candidate "Best", want one of CentralQueue, `)
 	})
-	convey.Convey("Given a context that has ended, the report is partial", t, func() {
+	convey.Convey("With a canceled context, the report is partial", t, func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		report, err := trial.Compare(ctx, trial.CompareConfig{Scenarios: []string{"Steady50"}})
@@ -51,8 +51,8 @@
 }
 
 func TestSmall(t *testing.T) {
-	convey.Convey("Given a whole small system with a rule change and a graceful stop", t, func() {
-		report, err := trial.Small(context.Background(), trial.SmallConfig{Duration: 2 * time.Second})
+	convey.Convey("Given a small system with a rule change and a graceful stop under load", t, func() {
+		report, err := trial.RunSmallSystem(context.Background(), trial.SmallConfig{Duration: 2 * time.Second})
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(report.Load.All.Calls, convey.ShouldBeGreaterThan, 0)
 		convey.So(report.Cut, convey.ShouldEqual, 0)
