--- a/internal/standin/command/command.go
+++ b/internal/standin/command/command.go
@@ -1,5 +1,5 @@
-// Package command is the command line of the stand-ins: small programs in place
-// of the platform, the endpoint servers and the callers, for tests and trials.
+// Package command implements the command line of the standin program: stand-ins for the
+// platform, endpoint servers and callers, for tests and benchmarks.
 //
 // # Usage
 //
@@ -19,11 +19,11 @@
 	"mustardsaddle.example/mustardsaddle/internal/product/command"
 )
 
-// headerTimeout bounds the reading of a request header.
+// headerTimeout limits the time to read a request header.
 const headerTimeout = 5 * time.Second
 
-const about = `standin runs small stand-ins for the outside systems that mustardsaddle talks to.
-They are for tests and trials only.
+const about = `standin runs stand-ins for the external systems that mustardsaddle depends on.
+They are for tests and benchmarks only.
 
 Examples:
   standin platform --listen 127.0.0.1:7000
@@ -36,52 +36,52 @@
 Exit status:
   0  done
   1  failed while running
-  2  mistake in the arguments`
+  2  invalid arguments`
 
-// Config configures a run of the command line.
+// Config configures Run.
 type Config struct {
-	// Out takes results.
+	// Out receives results.
 	Out io.Writer
-	// Err takes messages.
+	// Err receives error messages, progress messages and logs.
 	Err io.Writer
 }
 
-// Run runs the command that the arguments name until it ends or the context does.
+// Run runs the command given by the arguments until it completes or the context ends.
 func Run(ctx context.Context, cfg Config, args []string) command.Status {
 	parser := command.NewParser("standin", about)
 	env := env{ctx: ctx, cfg: cfg}
-	parser.Add("platform", "Run the platform stand-in", platformAbout, &platformCommand{env: env})
-	parser.Add("server", "Run an endpoint server stand-in", serverAbout, &serverCommand{env: env})
-	parser.Add("load", "Drive gateways with calls and measure them", loadAbout, &loadCommand{env: env})
-	parser.Add("trial", "Run a whole small system, or compare policies", trialAbout, &trialCommand{env: env})
-	parser.Add("model", "Compare policies in a simulation", modelAbout, &modelCommand{env: env})
+	parser.Add("platform", "Run a stand-in for the platform", platformAbout, &platformCommand{env: env})
+	parser.Add("server", "Run a stand-in for an endpoint server", serverAbout, &serverCommand{env: env})
+	parser.Add("load", "Generate load on gateways and measure latencies", loadAbout, &loadCommand{env: env})
+	parser.Add("trial", "Run a whole small system, or benchmark policies on such systems", trialAbout, &trialCommand{env: env})
+	parser.Add("model", "Compare policies in a discrete-event simulation", modelAbout, &modelCommand{env: env})
 	return parser.Run(cfg.Out, cfg.Err, args)
 }
 
-// env is what every command needs.
+// env holds what all commands share.
 type env struct {
 	ctx context.Context
 	cfg Config
 }
 
-// serve answers requests at an address until the context ends.
+// serve serves HTTP at an address until the context ends.
 func (e env) serve(name, address string, h http.Handler) error {
 	var lc net.ListenConfig
 	l, err := lc.Listen(e.ctx, "tcp", address)
 	if err != nil {
-		return errors.Annotatef(err, "open address %s", address)
+		return errors.Annotatef(err, "listen on address %s", address)
 	}
 	_, _ = fmt.Fprintf(e.cfg.Out, "%s listens on %s\n", name, l.Addr())
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
-	served := make(chan error, 1)
-	go func() { served <- srv.Serve(l) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- srv.Serve(l) }()
 	select {
-	case err := <-served:
+	case err := <-serveErr:
 		return errors.Annotatef(err, "serve %s", address)
 	case <-e.ctx.Done():
 		err := srv.Close()
-		if end := <-served; !errors.Is(end, http.ErrServerClosed) {
-			return end
+		if stopErr := <-serveErr; !errors.Is(stopErr, http.ErrServerClosed) {
+			return stopErr
 		}
 		return err
 	}
--- a/internal/standin/command/command_test.go
+++ b/internal/standin/command/command_test.go
@@ -18,7 +18,7 @@
 
 func TestMistakes(t *testing.T) {
 	cases := []struct {
-		line   string
+		args   string
 		status product.Status
 		want   string
 	}{
@@ -30,7 +30,7 @@
 		{"platform now", product.Usage, `got argument "now"`},
 		{"platform --lag soon", product.Usage, "soon"},
 		{"platform --lag=-1s", product.Usage, "--lag -1s"},
-		{"platform --listen nowhere", product.Failed, "open address nowhere"},
+		{"platform --listen nowhere", product.Failed, "listen on address nowhere"},
 		{"server --slots 0", product.Usage, "--slots 0"},
 		{"server --slots two", product.Usage, "two"},
 		{"load", product.Usage, "--target"},
@@ -54,46 +54,46 @@
 		{"trial --scenario Steady50 --repetitions 0", product.Usage, "--repetitions 0"},
 	}
 	for _, c := range cases {
-		t.Run(c.line, func(t *testing.T) {
+		t.Run(c.args, func(t *testing.T) {
 			var out bytes.Buffer
-			status := command.Run(context.Background(), command.Config{Out: &out, Err: &out}, strings.Fields(c.line))
+			status := command.Run(context.Background(), command.Config{Out: &out, Err: &out}, strings.Fields(c.args))
 			if status != c.status || !strings.Contains(out.String(), c.want) {
-				t.Errorf("got status %v and output %q, want %v and %q", status, out.String(), c.status, c.want)
+				t.Errorf("got status %v and output %q, want status %v and output with %q", status, out.String(), c.status, c.want)
 			}
 		})
 	}
 }
 
 func TestServe(t *testing.T) {
-	for _, line := range []string{"platform --listen 127.0.0.1:0", "server --listen 127.0.0.1:0 --name booking-01"} {
-		convey.Convey("Given "+line, t, func() {
+	for _, args := range []string{"platform --listen 127.0.0.1:0", "server --listen 127.0.0.1:0 --name booking-01"} {
+		convey.Convey("Given "+args, t, func() {
 			ctx, cancel := context.WithCancel(context.Background())
 			r, w := io.Pipe()
-			ended := make(chan product.Status, 1)
-			go func() { ended <- command.Run(ctx, command.Config{Out: w, Err: w}, strings.Fields(line)) }()
+			status := make(chan product.Status, 1)
+			go func() { status <- command.Run(ctx, command.Config{Out: w, Err: w}, strings.Fields(args)) }()
 			first, err := bufio.NewReader(r).ReadString('\n')
 			convey.So(err, convey.ShouldBeNil)
 			_, address, _ := strings.Cut(strings.TrimSpace(first), " listens on ")
-			convey.Convey("It answers, and ends with its context", func() {
+			convey.Convey("It serves requests, and stops when its context ends", func() {
 				resp, err := http.Get("http://" + address + "/machines")
 				convey.So(err, convey.ShouldBeNil)
 				_ = resp.Body.Close()
 				convey.So(resp.StatusCode, convey.ShouldEqual, http.StatusOK)
 				cancel()
-				convey.So(<-ended, convey.ShouldEqual, product.Done)
+				convey.So(<-status, convey.ShouldEqual, product.Done)
 			})
 		})
 	}
 }
 
 func TestLoad(t *testing.T) {
-	convey.Convey("Given a server, load makes calls and prints the figures", t, func() {
+	convey.Convey("Given a server, load generates calls and prints the measurements", t, func() {
 		srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 		defer srv.Close()
-		line := "load --target " + srv.URL + " --stream Plans:GET:/plans:1 --rate 200 --duration 300ms --warmup 0s"
+		args := "load --target " + srv.URL + " --stream Plans:GET:/plans:1 --rate 200 --duration 300ms --warmup 0s"
 		for _, format := range []string{"", " --json"} {
 			var out bytes.Buffer
-			status := command.Run(context.Background(), command.Config{Out: &out, Err: &out}, strings.Fields(line+format))
+			status := command.Run(context.Background(), command.Config{Out: &out, Err: &out}, strings.Fields(args+format))
 			convey.So(status, convey.ShouldEqual, product.Done)
 			convey.So(out.String(), convey.ShouldContainSubstring, "Plans")
 		}
--- a/internal/standin/command/model.go
+++ b/internal/standin/command/model.go
@@ -15,10 +15,10 @@
 	"mustardsaddle.example/mustardsaddle/internal/standin/model"
 )
 
-const modelAbout = `Compares policies of choice in a simulation of the served systems. Nothing is sent
-and no clock is read: equal seeds give equal results. The policy Exact is one
-gateway that knows every server at every moment, at no price; it shows how much
-better a policy could be.
+const modelAbout = `Compares load balancing policies in a discrete-event simulation. It uses
+neither network nor clock, and equal seeds give equal results. The policy
+Exact is a reference: a single gateway that knows the state of every server at
+all times, at no cost. It shows how much better another policy could be.
 
 Examples:
   standin model --list
@@ -26,13 +26,13 @@
   standin model --pattern Surge --policy Survey --policy Exact --seeds 20 --plot .`
 
 type modelCommand struct {
-	List     bool     `long:"list" description:"list the patterns and the policies"`
-	Pattern  []string `long:"pattern" value-name:"NAME" description:"pattern to play; repeat for more; none means all"`
-	Policy   []string `long:"policy" value-name:"NAME" description:"policy to play; repeat for more; none means all"`
-	Seeds    int      `long:"seeds" value-name:"N" description:"runs of each pattern with each policy" default:"5"`
+	List     bool     `long:"list" description:"list the load patterns and the policies"`
+	Pattern  []string `long:"pattern" value-name:"NAME" description:"load pattern to simulate; repeat for more; none means all"`
+	Policy   []string `long:"policy" value-name:"NAME" description:"policy to compare; repeat for more; none means all"`
+	Seeds    int      `long:"seeds" value-name:"N" description:"number of runs of each pattern with each policy" default:"5"`
 	Seed     uint64   `long:"seed" value-name:"N" description:"seed of the first run" default:"1"`
-	Parallel int      `long:"parallel" value-name:"N" description:"runs at a time; 0 means half of the processors" default:"0"`
-	Plot     string   `long:"plot" value-name:"DIRECTORY" description:"write an SVG plot of each pattern there"`
+	Parallel int      `long:"parallel" value-name:"N" description:"number of concurrent runs; 0 means half of the processors" default:"0"`
+	Plot     string   `long:"plot" value-name:"DIRECTORY" description:"directory for an SVG plot of each pattern"`
 	JSON     bool     `long:"json" description:"print the report as JSON"`
 
 	env env
@@ -63,7 +63,7 @@
 	return c.print(report)
 }
 
-// list prints the names with what they mean.
+// list prints the names and descriptions of all patterns and policies.
 func (c *modelCommand) list() error {
 	var b strings.Builder
 	for _, p := range model.Patterns() {
@@ -76,13 +76,13 @@
 	return err
 }
 
-// config finds the patterns and policies by their names.
+// config returns the comparison that the arguments describe.
 func (c *modelCommand) config() (experiment.Config, error) {
-	patterns, err := pick("pattern", c.Pattern, model.Patterns(), func(p model.Pattern) string { return p.Name })
+	patterns, err := selectByName("pattern", c.Pattern, model.Patterns(), func(p model.Pattern) string { return p.Name })
 	if err != nil {
 		return experiment.Config{}, err
 	}
-	policies, err := pick("policy", c.Policy, model.Policies(), func(p model.Policy) string { return p.Name })
+	policies, err := selectByName("policy", c.Policy, model.Policies(), func(p model.Policy) string { return p.Name })
 	if err != nil {
 		return experiment.Config{}, err
 	}
@@ -91,48 +91,50 @@
 	}, nil
 }
 
-// pick returns the items of the given names, or all if there are no names.
-func pick[T any](what string, names []string, all []T, name func(T) string) ([]T, error) {
+// selectByName returns the items with the given names, or all items if names is empty.
+// flag is the flag that the names come from, for errors.
+func selectByName[T any](flag string, names []string, items []T, nameOf func(T) string) ([]T, error) {
 	if len(names) == 0 {
-		return all, nil
+		return items, nil
 	}
 	var known []string
-	for _, item := range all {
-		known = append(known, name(item))
-	}
-	var picked []T
-	for _, wanted := range names {
-		at := slices.Index(known, wanted)
-		if at < 0 {
-			return nil, command.Failf(command.Usage, "got --%s %q, want one of %s", what, wanted, strings.Join(known, ", "))
+	for _, item := range items {
+		known = append(known, nameOf(item))
+	}
+	var matches []T
+	for _, name := range names {
+		i := slices.Index(known, name)
+		if i < 0 {
+			return nil, command.Failf(command.Usage, "got --%s %q, want one of %s", flag, name, strings.Join(known, ", "))
 		}
-		picked = append(picked, all[at])
+		matches = append(matches, items[i])
 	}
-	return picked, nil
+	return matches, nil
 }
 
-// plot writes an image for each pattern, if that is wanted.
+// plot writes a plot of each pattern, if --plot is given.
 func (c *modelCommand) plot(report experiment.Report, patterns []model.Pattern) error {
 	if c.Plot == "" {
 		return nil
 	}
 	for _, p := range patterns {
-		if err := c.plotOne(report, p.Name); err != nil {
+		if err := c.plotPattern(report, p.Name); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *modelCommand) plotOne(report experiment.Report, pattern string) error {
+// plotPattern writes the plot of a pattern to a file.
+func (c *modelCommand) plotPattern(report experiment.Report, pattern string) error {
 	path := filepath.Join(c.Plot, pattern+".svg")
 	f, err := os.Create(path)
 	if err != nil {
-		return command.Failf(command.Failed, "plot: %v", err)
+		return command.Failf(command.Failed, "create plot: %v", err)
 	}
 	err = report.Plot(f, pattern)
-	if closed := f.Close(); err == nil && closed != nil {
-		err = code.Wrapf(code.Internal, closed, "write %s", path)
+	if closeErr := f.Close(); err == nil && closeErr != nil {
+		err = code.Wrapf(code.Internal, closeErr, "write %s", path)
 	}
 	return err
 }
