--- a/internal/product/admin/state.go
+++ b/internal/product/admin/state.go
@@ -25,10 +25,12 @@
 	Links int
 	// PeerMessages and PeerBytes are the totals sent and received over links.
 	PeerMessages, PeerBytes int64
-	// Probes and ProbeBytes are the totals charged to the budget for load probes, and
-	// ProbesRefused is the total of probes that the budget did not allow.
+	// Probes and ProbeBytes are the totals that probes and load queries have charged to
+	// their common budget. ProbesRefused is the total of those that the budget did not
+	// allow.
 	Probes, ProbeBytes, ProbesRefused int64
-	// ProbesAgreed and ProbeBytesAgreed are the configured limits per second.
+	// ProbesAgreed and ProbeBytesAgreed are the configured limits of this budget per
+	// second.
 	ProbesAgreed, ProbeBytesAgreed float64
 	// StoreReads, StoreWatches and StoreWrites are the totals of requests sent to the
 	// platform. StoreFailures is the total of those without a usable response, and
