--- a/internal/product/instance/call_test.go
+++ b/internal/product/instance/call_test.go
@@ -18,8 +18,8 @@
 	"mustardsaddle.example/mustardsaddle/internal/standin/platform"
 )
 
-// A tenfold increase of calls must not raise the number of probes above the configured
-// rate. The probes are counted by the servers.
+// A tenfold increase of calls must not raise the number of probes and load queries above
+// the configured rate. The servers count both as probes.
 func TestSurgeKeepsTheMeasuringBudget(t *testing.T) {
 	const (
 		rate    = 10.0 // probes per second of each gateway
--- a/internal/product/instance/change_test.go
+++ b/internal/product/instance/change_test.go
@@ -83,7 +83,7 @@
 	})
 }
 
-// Gateways without links, whose watches get no response, still start from the store,
+// Gateways without links, whose watches report no changes, still start from the store,
 // put a change in force within inForceLimit, and stop sending requests to a leaving
 // server.
 func TestNoLinksAndSilentWatches(t *testing.T) {
--- a/internal/product/instance/directory.go
+++ b/internal/product/instance/directory.go
@@ -12,7 +12,7 @@
 	"mustardsaddle.example/mustardsaddle/internal/control/rule"
 )
 
-// newCatalog returns the component that keeps this gateway in step with a directory.
+// newCatalog returns the catalog that keeps this gateway up to date with a directory.
 func (in *instance) newCatalog(d mustardsaddle.Directory, seed uint64) *catalog.Catalog {
 	s := in.cfg.Settings
 	return catalog.New(catalog.Config{
--- a/internal/product/instance/instance.go
+++ b/internal/product/instance/instance.go
@@ -281,8 +281,8 @@
 
 // neighbors returns the VMs to which links are kept: those chosen from the roster, or
 // the seed addresses of the settings while the roster has no other gateway. With a
-// directory there are no seed addresses; instead, links are also kept to gateways that
-// have left, so that a gateway that starts at the same address is reached by its peers.
+// directory there are no seed addresses. Instead, some gateways keep dialing the address
+// of each gateway that has left, since a gateway that starts there may know no peers.
 func (in *instance) neighbors(r roster.Roster) []mustardsaddle.VM {
 	peers := in.cfg.Settings.Peers
 	vms := roster.Neighbors(r.Peers(), in.self.Name, roster.NeighborConfig{Across: peers.Across})
--- a/internal/product/instance/reload.go
+++ b/internal/product/instance/reload.go
@@ -24,8 +24,8 @@
 }
 
 // applySettings applies the sections of new settings that can change while the gateway
-// runs: the budgets of probes and retries, and the shutdown times. The other sections
-// keep their values until a restart.
+// runs: the budget of probes and load queries, the budget of retries, and the shutdown
+// times. The other sections keep their values until a restart.
 func (in *instance) applySettings(now time.Time, s settings.Settings) {
 	old := *in.current.Load()
 	in.probeBudget.SetRates(now, probeRates(s))
@@ -36,7 +36,7 @@
 		Strs("AfterRestart", s.Changed(next)).Send()
 }
 
-// probeRates returns the configured limits of the probe budget.
+// probeRates returns the configured limits of the budget of probes and load queries.
 func probeRates(s settings.Settings) report.BudgetConfig {
 	return report.BudgetConfig{
 		MessagesPerSecond: s.Measuring.MessagesPerSecond,
--- a/internal/product/instance/serve.go
+++ b/internal/product/instance/serve.go
@@ -200,9 +200,8 @@
 	return servers
 }
 
-// graceMarginDivisor divides the platform's grace period: the last of
-// graceMarginDivisor equal parts is reserved for ending the process after its last
-// call.
+// graceMarginDivisor determines the part of the platform's grace period, one divided by
+// graceMarginDivisor, that is reserved for ending the process after its last call.
 const graceMarginDivisor = 12
 
 // stop shuts down gracefully and returns how many calls in flight it aborted. Calls are
