--- a/internal/standin/soak/judge.go
+++ b/internal/standin/soak/judge.go
@@ -29,7 +29,7 @@
 	// its request.
 	OwnAnswer
 	// Unbroken requires that a call gets a response unless a fault window
-	// excuses it.
+	// excuses it. The body must be complete unless the call is a download.
 	Unbroken
 	// InTime requires that a call gets its response by the deadline unless a
 	// fault window excuses it.
@@ -38,12 +38,13 @@
 	RetriesBounded
 )
 
-// Limits are the bounds that the invariants refer to.
+// Limits are the bounds that the guarantees refer to.
 type Limits struct {
-	// Deadline bounds the duration of a call; for a download, the time until its
-	// response begins. 0 disables the checks of durations.
+	// Deadline bounds the duration of a call. If it is 0, durations are not checked,
+	// and InTime requires only that the caller's timeout does not expire.
 	Deadline time.Duration
-	// Progress bounds the time without progress of a download.
+	// Progress is how long the body of a download may stall; a download may take
+	// that much longer than Deadline.
 	Progress time.Duration
 	// RetryShare is the ratio of retries and hedges to calls that is allowed
 	// within any Window, and Slack the number allowed in addition.
@@ -52,7 +53,7 @@
 	Slack      int
 }
 
-// Violation is a violated invariant.
+// Violation is a violated guarantee.
 type Violation struct {
 	Rule Rule
 	// Request is the caller's request ID; empty if the violation does not
--- a/internal/standin/soak/plan.go
+++ b/internal/standin/soak/plan.go
@@ -1,6 +1,6 @@
 // Package soak generates random fault schedules for soak tests of a small
 // system of real processes, and checks the recorded histories of callers and
-// servers against the invariants of the system. It performs no I/O: the test
+// servers against the guarantees of the system. It performs no I/O: the test
 // harness injects the faults and records the history.
 //
 // # Usage
@@ -69,7 +69,7 @@
 	LinkRefused
 	// StoreDown makes the store refuse every request.
 	StoreDown
-	// StoreSlow delays the responses of the store.
+	// StoreSlow makes the store delay every request.
 	StoreSlow
 	// StoreLosesAnswers makes the store apply writes without responding.
 	StoreLosesAnswers
