--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -147,7 +147,7 @@
 	s.SetMode(m)
 }
 
-// handleProbe responds to a load probe.
+// handleProbe responds to a probe or a load query.
 func (s *Server) handleProbe(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	s.probes++
@@ -171,7 +171,7 @@
 	Runs map[string]int
 	// Total is the number of executions.
 	Total int64
-	// Probes is the number of load probes answered.
+	// Probes is the number of probes and load queries answered.
 	Probes int64
 	// Shed is the number of requests refused because of load or draining.
 	Shed int64
