--- a/cmd/mustardsaddle/harness_test.go
+++ b/cmd/mustardsaddle/harness_test.go
@@ -364,7 +364,7 @@
 }
 
 // requestsReceived returns the number of requests that a server received,
-// including shed ones. Load probes do not count.
+// including shed ones. Probes and load queries do not count.
 func (s *system) requestsReceived(e *endpoint) int64 {
 	c := s.counts(e)
 	return c.Total + c.Shed
