--- a/internal/standin/model/gateway.go
+++ b/internal/standin/model/gateway.go
@@ -186,8 +186,8 @@
 	}
 }
 
-// choose chooses a server that has not been tried. blind states that the query
-// budget allowed no load query for this attempt.
+// choose chooses a server that has not been tried. blind is true if the query budget
+// allowed no load query for this attempt.
 func (g *gateway) choose(tried []string, blind bool) (mustardsaddle.Choice, bool) {
 	if g.sim.cfg.Policy.PerfectInformation {
 		g.observeAll()
--- a/internal/standin/model/policy.go
+++ b/internal/standin/model/policy.go
@@ -62,7 +62,7 @@
 			MaxQueries: defaultMaxQueries, WaitDivisor: 2, NewChooser: querying(survey.Config{}),
 		},
 		{
-			Name: "TwoChoices", Description: "the one of two random servers with fewer attempts of the same gateway, without queries",
+			Name: "TwoChoices", Description: "picks two random servers and uses the one with fewer attempts from the same gateway, without queries",
 			NewChooser: ranking(bench.TwoChoices),
 		},
 		{
--- a/internal/standin/model/result.go
+++ b/internal/standin/model/result.go
@@ -14,7 +14,8 @@
 type End int
 
 const (
-	// Served means that the caller got a response, within the target latency or later.
+	// Served means that the caller got a successful response, within the target latency
+	// or later.
 	Served End = iota
 	// Refused means that the request was refused and has not run.
 	Refused
