--- a/internal/standin/experiment/experiment.go
+++ b/internal/standin/experiment/experiment.go
@@ -1,6 +1,6 @@
 // Package experiment compares load balancing policies in the simulation of package
-// model: every policy runs in the same load patterns with the same seeds. The report is
-// available as a table, as JSON by its encoding, and as plots.
+// model: every policy runs in the same load patterns with the same seeds. A Report can be
+// printed as a table, encoded as JSON, and plotted.
 //
 // # Usage
 //
