--- a/internal/standin/trial/candidate.go
+++ b/internal/standin/trial/candidate.go
@@ -24,7 +24,7 @@
 	return -1
 }
 
-// centralQueue is the name of the reference candidate.
+// centralQueue is the name of the reference candidate, the best known way to place calls.
 const centralQueue = "CentralQueue"
 
 // candidates returns all candidates, with the reference candidate first.
--- a/internal/standin/trial/member.go
+++ b/internal/standin/trial/member.go
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// freeAddresses returns three loopback addresses with different free ports. It closes
-// them before it returns, so that another process could still take one.
+// freeAddresses returns three loopback addresses with different free ports. Its listeners
+// are closed when it returns, so another process may take a port before it is used.
 func freeAddresses(ctx context.Context) ([3]string, error) {
 	var addresses [3]string
 	for i := range addresses {
--- a/internal/standin/trial/report.go
+++ b/internal/standin/trial/report.go
@@ -29,8 +29,8 @@
 	// Probes and ProbeBytes are the load probes of all gateways per second, in
 	// messages and bytes.
 	Probes, ProbeBytes float64
-	// ProcessorMicros is the CPU time of the whole process per call, in microseconds;
-	// 0 if several systems ran concurrently.
+	// ProcessorMicros is the CPU time of the whole process, warmup included, divided by
+	// Calls, in microseconds; 0 if several systems ran concurrently.
 	ProcessorMicros float64
 }
 
@@ -47,7 +47,7 @@
 	// Within99 is 0 if less than 99 % of the calls succeeded in any repetition.
 	Within99 Spread
 	// Ratio is the median Within99 relative to that of the CentralQueue candidate; 0 if
-	// either is missing.
+	// either is missing, or if CentralQueue comes later in the list of candidates.
 	Ratio float64
 	// Median holds the median of each measurement.
 	Median Figures
--- a/internal/standin/trial/small.go
+++ b/internal/standin/trial/small.go
@@ -28,7 +28,7 @@
 	Duration time.Duration
 	// Seed seeds the random generators of the load.
 	Seed uint64
-	// Logger receives the log events of the gateways.
+	// Logger receives the log events of the gateways. It may be disabled.
 	Logger zerolog.Logger
 	// Progress, if set, receives a line for each step of the run.
 	Progress io.Writer
@@ -41,8 +41,8 @@
 	// Runs is the number of executions that the servers counted, and Repeated the
 	// number of attempts that they executed more than once.
 	Runs, Repeated int64
-	// Probes is the number of load probes per second that the servers answered, and
-	// Agreed the limit that was agreed for all gateways together.
+	// Probes is the number of load probes and load queries per second that the servers
+	// answered, and Agreed the limit that was agreed for all gateways together.
 	Probes, Agreed float64
 	// InForce is the time from the submission of a routing rule until every gateway
 	// applied it.
@@ -58,7 +58,7 @@
 	var b strings.Builder
 	b.WriteString(r.Load.Text())
 	fmt.Fprintf(&b, "\nThe servers counted %d executions; %d attempts ran more than once.\n", r.Runs, r.Repeated)
-	fmt.Fprintf(&b, "Load probes: %.1f per second, with an agreed limit of %.0f.\n", r.Probes, r.Agreed)
+	fmt.Fprintf(&b, "Load probes and queries: %.1f per second, with an agreed limit of %.0f.\n", r.Probes, r.Agreed)
 	fmt.Fprintf(&b, "Every gateway applied the rule change within %.2f s.\n", r.InForce.Seconds())
 	fmt.Fprintf(&b, "The graceful stop of one gateway took %.1f s. Calls cut: %d.\n", r.Stop.Seconds(), r.Cut)
 	return b.String()
@@ -177,7 +177,8 @@
 	}
 }
 
-// probeCount returns the number of load probes that the servers have answered so far.
+// probeCount returns the number of load probes and load queries that the servers have
+// answered so far.
 func (s *smallSystem) probeCount() int64 {
 	var n int64
 	for _, e := range s.endpoints {
--- a/internal/standin/trial/trial.go
+++ b/internal/standin/trial/trial.go
@@ -9,9 +9,10 @@
 // gateways. Within a repetition, all candidates get the same calls with the same service
 // times; the order in which the candidates run changes with the repetition.
 //
-// The CentralQueue candidate is the reference: a single gateway that knows the exact
-// state of every slot and queues calls until a slot is free. The ratio of another
-// candidate to it shows how much that candidate could be improved.
+// The CentralQueue candidate is the reference, the best known way to place calls: a
+// single gateway that knows the exact state of every slot and queues calls until a slot
+// is free. The ratio of another candidate to it shows how much that candidate could be
+// improved.
 //
 // # Usage
 //
