--- a/internal/standin/command/command.go
+++ b/internal/standin/command/command.go
@@ -22,7 +22,7 @@
 // headerTimeout limits the time to read a request header.
 const headerTimeout = 5 * time.Second
 
-const about = `standin runs stand-ins for the external systems that mustardsaddle depends on.
+const about = `standin runs stand-ins for the external systems that mustardsaddle talks to.
 They are for tests and benchmarks only.
 
 Examples:
--- a/internal/standin/command/trial.go
+++ b/internal/standin/command/trial.go
@@ -17,9 +17,9 @@
 const trialAbout = `Without --scenario: runs a whole small system on the loopback interface
 (platform, servers, three gateways and a load generator), changes a routing
 rule, stops a gateway gracefully, and prints the outcomes of the calls, the
-rate of load probes, and the time until every gateway applied the rule. The
-exit status is 1 if a call was cut or an attempt ran more than once. Only
---duration, --seed, --log and --json apply.
+rate of load probes and queries, and the time until every gateway applied the
+rule. The exit status is 1 if a call was cut or an attempt ran more than once.
+Only --duration, --seed, --log and --json apply.
 
 With --scenario: benchmarks load balancing policies on whole systems, with the
 same calls for each policy, and prints a table of latencies, outcomes and costs.
