--- a/choice.go
+++ b/choice.go
@@ -15,7 +15,7 @@
 	SetServers(now time.Time, servers []Server)
 	// Choose picks a server for an attempt and counts the attempt as in flight. It
 	// returns false if no server may take the attempt now.
-	Choose(now time.Time, rng *rand.Rand, need Need) (Choice, bool)
+	Choose(now time.Time, rng *rand.Rand, reqs Requirements) (Choice, bool)
 	// Finish records the result of a chosen attempt.
 	Finish(now time.Time, result Result)
 	// Observe records a load report of a server.
@@ -24,23 +24,23 @@
 	Probe(now time.Time, rng *rand.Rand) (Server, bool)
 }
 
-// Need describes the attempt for which a server is chosen.
-type Need struct {
+// Requirements describes the attempt for which a server is chosen.
+type Requirements struct {
 	// Exclude holds the names of the servers that the call has tried already.
 	Exclude []string
 	// Zone is the availability zone of the gateway.
 	Zone string
-	// Blind is true if no server could be queried, so that the choice may use
+	// Unqueried is true if no server could be queried, so that the choice may use
 	// servers without a recent load report.
-	Blind bool
+	Unqueried bool
 	// Bytes is the typical response size of the service.
 	Bytes int
 }
 
-// WithBlind returns a copy of n with Blind set to blind.
-func (n Need) WithBlind(blind bool) Need {
-	n.Blind = blind
-	return n
+// WithUnqueried returns a copy of r with Unqueried set to unqueried.
+func (r Requirements) WithUnqueried(unqueried bool) Requirements {
+	r.Unqueried = unqueried
+	return r
 }
 
 // Choice is a chosen server, with the reason for the log.
@@ -62,8 +62,8 @@
 	// Shed is true if the server declared that it rejected the request because of
 	// load.
 	Shed bool
-	// Gone is true if another server answered at the address.
-	Gone bool
+	// AddressTaken is true if another server answered at the address.
+	AddressTaken bool
 	// Failed is true for a server error, a broken connection or a timeout.
 	Failed bool
 	// Canceled is true if the gateway or the caller canceled the attempt, which
@@ -82,33 +82,34 @@
 	SetFleet(now time.Time, self string, gateways []VM)
 }
 
-// Surveyor is a Chooser that bases its choices on load queries sent to some servers
-// just before. The result of a query reaches it through Asked, and its load report
-// then through Observe.
-type Surveyor interface {
+// LoadQuerier is a Chooser that bases its choices on load queries sent to some
+// servers just before. The result of a query reaches it through RecordQuery, and
+// its load report then through Observe.
+type LoadQuerier interface {
 	Chooser
-	// Ask returns up to n servers to query now. A query to each of them counts as
-	// pending until Asked or Unasked.
-	Ask(now time.Time, rng *rand.Rand, need Need, n int) []Server
-	// Unasked reports that servers returned by Ask were not queried.
-	Unasked(servers []Server)
-	// Asked records the result of a load query.
-	Asked(now time.Time, server string, reply Reply)
-	// Verdicts returns the servers that were excluded since the last call, for the
-	// log.
-	Verdicts() []Verdict
+	// SelectQueries returns up to n servers to query now. A query to each of them
+	// counts as pending until RecordQuery or CancelQueries.
+	SelectQueries(now time.Time, rng *rand.Rand, reqs Requirements, n int) []Server
+	// CancelQueries reports that servers returned by SelectQueries were not
+	// queried.
+	CancelQueries(servers []Server)
+	// RecordQuery records the result of a load query.
+	RecordQuery(now time.Time, server string, reply Reply)
+	// Exclusions returns the servers that were excluded since the last call, for
+	// the log.
+	Exclusions() []Exclusion
 }
 
-// Verdict records that a server is excluded for a time.
-type Verdict struct {
+// Exclusion records that a server is excluded for a time.
+type Exclusion struct {
 	// Server is the name of the server.
 	Server string
 	// Reason states why, for example "Failures".
 	Reason string
-	// For is how long the server is excluded.
-	For time.Duration
-	// Failures is the moving average of failed attempts, from 0 to 1.
-	Failures float64
+	// Duration is how long the server is excluded.
+	Duration time.Duration
+	// FailureRate is the moving average of failed attempts, from 0 to 1.
+	FailureRate float64
 }
 
 //go:generate go tool -modfile=tools/go.mod stringer -type=Reply -output=reply_string.go
--- a/claims.go
+++ b/claims.go
@@ -13,7 +13,7 @@
 	Holder string
 	// Outcome is what the holder has recorded about the execution of the request.
 	// It is Unknown from the creation of the claim on, so that the record is
-	// correct even if the holder stops without settling it.
+	// correct even if the holder stops without recording it.
 	Outcome Outcome
 	// Status is the HTTP status of the response; 0 if there was none.
 	Status int
@@ -26,15 +26,16 @@
 	return c
 }
 
-// Claims stores claims where all gateways see them, so that a request runs at most
-// once, whichever gateways receive the retries of its caller. A claim has no
+// ClaimStore stores claims where all gateways see them, so that a request runs at
+// most once, whichever gateways receive the retries of its caller. A claim has no
 // expiry: a holder that was paused for any length of time is still the only one.
-type Claims interface {
-	// Take claims the request for the holder. If another call holds the claim, it
-	// returns that claim and false. After an error the holder must not send the
+type ClaimStore interface {
+	// Acquire claims the request for the holder. If another call holds the claim,
+	// it returns that claim and false. After an error the holder must not send the
 	// request.
-	Take(ctx context.Context, service, key, holder string) (Claim, bool, error)
-	// Settle records the outcome of the request. A claim settled as NotRun may be
-	// taken again, so its holder must not send the request after that.
-	Settle(ctx context.Context, c Claim) error
+	Acquire(ctx context.Context, service, key, holder string) (Claim, bool, error)
+	// RecordOutcome records the outcome of the request. A claim whose outcome is
+	// NotRun may be acquired again, so its holder must not send the request after
+	// that.
+	RecordOutcome(ctx context.Context, c Claim) error
 }
--- a/directory.go
+++ b/directory.go
@@ -33,9 +33,9 @@
 	// The error has code.StoreHistoryLost if the changes are no longer available
 	// and a Snapshot is needed.
 	Changes(ctx context.Context, c Collection, after int64, wait time.Duration) (Update, error)
-	// Enter writes the entry of a gateway VM and replaces any entry of the same
+	// Register writes the entry of a gateway VM and replaces any entry of the same
 	// name.
-	Enter(ctx context.Context, vm VM) error
+	Register(ctx context.Context, vm VM) error
 	// Remove removes the entry of a gateway VM, if there is one.
 	Remove(ctx context.Context, name string) error
 }
@@ -62,9 +62,9 @@
 	Skipped []error
 }
 
-// Known describes the state of a collection that a gateway has: it is complete up
-// to Revision, and was current Age ago.
-type Known struct {
+// CollectionState describes the state of a collection that a gateway has: it is
+// complete up to Revision, and was current Age ago.
+type CollectionState struct {
 	// Revision is 0 if nothing is known.
 	Revision int64
 	// Age is an upper bound of the time for which the collection may have changed
--- a/doc.go
+++ b/doc.go
@@ -8,7 +8,7 @@
 // a random source for tie-breaking, and performs no I/O:
 //
 //	chooser := bench.New(bench.Config{Policy: bench.PreferredSpill})
-//	choice, ok := chooser.Choose(now, rng, mustardsaddle.Need{Zone: "a"})
+//	choice, ok := chooser.Choose(now, rng, mustardsaddle.Requirements{Zone: "a"})
 //
 // The request path reads immutable snapshots (rules, servers) and never waits for
 // the platform's store or for a peer, except where a rule requires a claim.
--- a/internal/choice/bench/bench.go
+++ b/internal/choice/bench/bench.go
@@ -16,7 +16,7 @@
 //	c := bench.New(bench.Config{})
 //	c.SetServers(now, servers)
 //	c.SetFleet(now, "gateway-1", gateways)
-//	choice, ok := c.Choose(now, rng, mustardsaddle.Need{Zone: "a"})
+//	choice, ok := c.Choose(now, rng, mustardsaddle.Requirements{Zone: "a"})
 //	...
 //	c.Observe(now, choice.Server.Name, report)
 //	c.Finish(now, mustardsaddle.Result{Server: choice.Server.Name, Outcome: mustardsaddle.Ran})
@@ -224,22 +224,22 @@
 }
 
 // Choose picks a server by the policy.
-func (c *Chooser) Choose(now time.Time, rng *rand.Rand, need mustardsaddle.Need) (mustardsaddle.Choice, bool) {
-	c.collectCandidates(now, need, false)
+func (c *Chooser) Choose(now time.Time, rng *rand.Rand, reqs mustardsaddle.Requirements) (mustardsaddle.Choice, bool) {
+	c.collectCandidates(now, reqs, false)
 	if len(c.candidates) == 0 && c.ejectedCount > 0 {
-		c.collectCandidates(now, need, true)
+		c.collectCandidates(now, reqs, true)
 	}
 	if len(c.candidates) == 0 {
 		return mustardsaddle.Choice{}, false
 	}
-	s, reason := c.selectServer(now, rng, need.Zone)
+	s, reason := c.selectServer(now, rng, reqs.Zone)
 	s.inFlight++
 	s.reportUses++
 	return mustardsaddle.Choice{Server: s.Server, Reason: reason}, true
 }
 
 // collectCandidates fills candidates with the servers that may take an attempt now.
-func (c *Chooser) collectCandidates(now time.Time, need mustardsaddle.Need, includeEjected bool) {
+func (c *Chooser) collectCandidates(now time.Time, reqs mustardsaddle.Requirements, includeEjected bool) {
 	c.candidates = c.candidates[:0]
 	for _, s := range c.servers {
 		if s.Leaving || s.report.Draining || s.inFlight >= c.attemptLimit(now, s) || now.Before(s.fullUntil) {
@@ -248,7 +248,7 @@
 		if c.isEjected(now, s) && !includeEjected {
 			continue
 		}
-		if slices.Contains(need.Exclude, s.Name) {
+		if slices.Contains(reqs.Exclude, s.Name) {
 			continue
 		}
 		c.candidates = append(c.candidates, s)
--- a/internal/choice/bench/bench_test.go
+++ b/internal/choice/bench/bench_test.go
@@ -58,7 +58,7 @@
 }
 
 func (sim *simulation) choose() {
-	c, ok := sim.chooser.Choose(sim.now, sim.rng, mustardsaddle.Need{Zone: "a"})
+	c, ok := sim.chooser.Choose(sim.now, sim.rng, mustardsaddle.Requirements{Zone: "a"})
 	sim.choices = append(sim.choices, c.Server.Name+c.Reason)
 	if !ok {
 		return
@@ -152,7 +152,7 @@
 			assigned := 0
 			rng := rand.New(rand.NewPCG(1, 1))
 			for {
-				c, ok := b.Choose(start, rng, mustardsaddle.Need{})
+				c, ok := b.Choose(start, rng, mustardsaddle.Requirements{})
 				if !ok || c.Reason != "Preferred" {
 					break
 				}
@@ -176,7 +176,7 @@
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		for now := start; now.Before(start.Add(2 * slowStart)); now = now.Add(slowStart / 7) {
 			for {
-				if _, ok := b.Choose(now, rng, mustardsaddle.Need{}); !ok {
+				if _, ok := b.Choose(now, rng, mustardsaddle.Requirements{}); !ok {
 					break
 				}
 			}
@@ -221,7 +221,7 @@
 	runAttempts := func(b *bench.Chooser, now time.Time, failing string, latency time.Duration, n int) {
 		for range n {
 			for range 6 {
-				c, ok := b.Choose(now, rng, mustardsaddle.Need{})
+				c, ok := b.Choose(now, rng, mustardsaddle.Requirements{})
 				if !ok {
 					break
 				}
@@ -267,10 +267,10 @@
 					others = append(others, s.Name)
 				}
 			}
-			c, ok := b.Choose(start, rng, mustardsaddle.Need{Exclude: others})
+			c, ok := b.Choose(start, rng, mustardsaddle.Requirements{Exclude: others})
 			convey.So(ok, convey.ShouldBeTrue)
 			convey.So(c.Server.Name, convey.ShouldEqual, "booking-0003")
-			_, ok = b.Choose(start, rng, mustardsaddle.Need{Exclude: append(others, "booking-0003")})
+			_, ok = b.Choose(start, rng, mustardsaddle.Requirements{Exclude: append(others, "booking-0003")})
 			convey.So(ok, convey.ShouldBeFalse)
 		})
 		convey.Convey("a server with high latency is ejected", func() {
@@ -283,13 +283,13 @@
 		b := bench.New(bench.Config{Policy: bench.HotCold})
 		b.SetServers(start, newServers(2))
 		for range 2 {
-			c, ok := b.Choose(start, rng, mustardsaddle.Need{})
+			c, ok := b.Choose(start, rng, mustardsaddle.Requirements{})
 			convey.So(ok, convey.ShouldBeTrue)
 			b.Finish(start, mustardsaddle.Result{Server: c.Server.Name, Outcome: mustardsaddle.NotRun, Shed: true})
 		}
-		_, ok := b.Choose(start, rng, mustardsaddle.Need{})
+		_, ok := b.Choose(start, rng, mustardsaddle.Requirements{})
 		convey.So(ok, convey.ShouldBeFalse)
-		_, ok = b.Choose(start.Add(10*time.Millisecond), rng, mustardsaddle.Need{})
+		_, ok = b.Choose(start.Add(10*time.Millisecond), rng, mustardsaddle.Requirements{})
 		convey.So(ok, convey.ShouldBeTrue)
 	})
 	convey.Convey("Given a new server, its attempt limit grows during slow start", t, func() {
@@ -303,7 +303,7 @@
 		}{{0, 1}, {2 * time.Second, 2}, {3 * time.Second, 3}} {
 			got := 0
 			for {
-				c, ok := b.Choose(start.Add(step.after), rng, mustardsaddle.Need{Exclude: []string{all[0].Name}})
+				c, ok := b.Choose(start.Add(step.after), rng, mustardsaddle.Requirements{Exclude: []string{all[0].Name}})
 				if !ok {
 					break
 				}
@@ -320,7 +320,7 @@
 			b.Observe(start, s.Name, mustardsaddle.Report{InFlight: 4 * min(i, 1), At: start})
 		}
 		for range 12 {
-			_, ok := b.Choose(start, rng, mustardsaddle.Need{})
+			_, ok := b.Choose(start, rng, mustardsaddle.Requirements{})
 			convey.So(ok, convey.ShouldBeTrue)
 		}
 		convey.So(b.InFlight("booking-0000"), convey.ShouldBeBetweenOrEqual, 2, 4)
@@ -339,7 +339,7 @@
 				now = now.Add(10 * time.Millisecond)
 				b.Observe(now, misreporting, mustardsaddle.Report{At: now})
 				b.Observe(now, "booking-0001", mustardsaddle.Report{InFlight: 1, At: now})
-				c, ok := b.Choose(now, rng, mustardsaddle.Need{})
+				c, ok := b.Choose(now, rng, mustardsaddle.Requirements{})
 				convey.So(ok, convey.ShouldBeTrue)
 				if c.Server.Name == misreporting {
 					count++
@@ -367,7 +367,7 @@
 				b.ReportAllocs()
 				for b.Loop() {
 					now = now.Add(100 * time.Microsecond)
-					c, ok := chooser.Choose(now, rng, mustardsaddle.Need{Zone: "a"})
+					c, ok := chooser.Choose(now, rng, mustardsaddle.Requirements{Zone: "a"})
 					if !ok {
 						b.Fatal("choose: got no server")
 					}
--- a/internal/choice/survey/questions.go
+++ b/internal/choice/survey/questions.go
@@ -6,9 +6,9 @@
 	"golang.org/x/time/rate"
 )
 
-// AnswerPatience bounds how long a call waits for the load reports of the servers
+// QueryWait bounds how long a call waits for the load reports of the servers
 // that it queried.
-const AnswerPatience = 15 * time.Millisecond
+const QueryWait = 15 * time.Millisecond
 
 const (
 	// queryShare is the share of the allowed load queries that the live gateways
@@ -25,39 +25,39 @@
 	minQueries = 2
 )
 
-// Questions is a token bucket that limits the load queries from one gateway to the
-// servers of a service. It performs no I/O and is not safe for concurrent use.
-type Questions struct {
+// QueryLimiter is a token bucket that limits the load queries from one gateway to
+// the servers of a service. It performs no I/O and is not safe for concurrent use.
+type QueryLimiter struct {
 	limiter    *rate.Limiter
 	maxPerCall int
 }
 
-// NewQuestions returns a limiter that lets one call query at most maxPerCall
+// NewQueryLimiter returns a limiter that lets one call query at most maxPerCall
 // servers. It permits no query until SetRate is called.
-func NewQuestions(maxPerCall int) *Questions {
-	return &Questions{limiter: rate.NewLimiter(0, 0), maxPerCall: maxPerCall}
+func NewQueryLimiter(maxPerCall int) *QueryLimiter {
+	return &QueryLimiter{limiter: rate.NewLimiter(0, 0), maxPerCall: maxPerCall}
 }
 
-// Rate returns the query rate of one gateway, in queries per second, when perServer
-// is the rate that each server accepts from all gateways together.
-func Rate(perServer float64, servers, gateways int) float64 {
+// GatewayQueryRate returns the query rate of one gateway, in queries per second,
+// when perServer is the rate that each server accepts from all gateways together.
+func GatewayQueryRate(perServer float64, servers, gateways int) float64 {
 	return queryShare * perServer * float64(servers) / float64(gateways)
 }
 
 // SetRate changes the refill rate, in queries per second.
-func (q *Questions) SetRate(now time.Time, perSecond float64) {
+func (q *QueryLimiter) SetRate(now time.Time, perSecond float64) {
 	q.limiter.SetLimitAt(now, rate.Limit(perSecond))
 	q.limiter.SetBurstAt(now, max(int(perSecond*queryBurst.Seconds()), q.maxPerCall))
 }
 
-// Next returns how many servers the next call may query. It returns fewer when
+// CallLimit returns how many servers the next call may query. It returns fewer when
 // tokens are scarce, so that the calls after it can query some servers too.
-func (q *Questions) Next(now time.Time) int {
+func (q *QueryLimiter) CallLimit(now time.Time) int {
 	n := int(q.limiter.TokensAt(now) / reserveCalls)
 	return min(max(n, minQueries), q.maxPerCall)
 }
 
-// Take consumes one token. It returns false if there is none.
-func (q *Questions) Take(now time.Time) bool {
+// Allow consumes one token. It returns false if there is none.
+func (q *QueryLimiter) Allow(now time.Time) bool {
 	return q.limiter.AllowN(now, 1)
 }
--- a/internal/choice/survey/server.go
+++ b/internal/choice/survey/server.go
@@ -115,7 +115,7 @@
 
 // score returns the expected processing time as a multiple of the usual one. The
 // server with the lowest score is best.
-func (s *server) score(now time.Time, need mustardsaddle.Need) float64 {
+func (s *server) score(now time.Time, reqs mustardsaddle.Requirements) float64 {
 	slowness := s.slowness()
 	if now.Before(s.WarmAt) {
 		slowness += warmUpCost
@@ -128,8 +128,8 @@
 		score += slowness * queueCost * float64(waiting)
 	}
 	score += failureCost * s.failureRate
-	if s.Zone != need.Zone {
-		score += crossZoneCost + crossZoneByteCost*float64(need.Bytes)
+	if s.Zone != reqs.Zone {
+		score += crossZoneCost + crossZoneByteCost*float64(reqs.Bytes)
 	}
 	return score
 }
--- a/internal/choice/survey/survey.go
+++ b/internal/choice/survey/survey.go
@@ -37,10 +37,10 @@
 //	c := survey.New(survey.Config{})
 //	c.SetServers(now, servers)
 //	c.SetFleet(now, "gateway-1", gateways)
-//	for _, server := range c.Ask(now, rng, need, 8) {
-//		... // query, then c.Asked(now, server.Name, reply) and c.Observe(now, server.Name, report)
+//	for _, server := range c.SelectQueries(now, rng, reqs, 8) {
+//		... // query, then c.RecordQuery(now, server.Name, reply) and c.Observe(now, server.Name, report)
 //	}
-//	choice, ok := c.Choose(now, rng, need)
+//	choice, ok := c.Choose(now, rng, reqs)
 //
 // A Chooser is a deterministic state machine: time and the random source are
 // arguments. The caller must serialize access to it.
@@ -110,9 +110,9 @@
 	MaxReportAge time.Duration
 	// RequeryAge is the report age below which a server is not queried again.
 	RequeryAge time.Duration
-	// MaxOut is the largest share of servers that are ejected at a time. A negative
-	// value disables ejection.
-	MaxOut float64
+	// MaxEjected is the largest share of servers that are ejected at a time. A
+	// negative value disables ejection.
+	MaxEjected float64
 	// SlowRatio is the multiple of the median slowness above which the last slot of
 	// a server stays free. A negative value makes all slots available.
 	SlowRatio float64
@@ -139,12 +139,12 @@
 	// medianSlowness is a running estimate of the median of the reported slowness.
 	medianSlowness float64
 	// exclusions holds the servers that were excluded since the last call of
-	// Verdicts.
-	exclusions []mustardsaddle.Verdict
+	// Exclusions.
+	exclusions []mustardsaddle.Exclusion
 }
 
 var (
-	_ mustardsaddle.Surveyor    = (*Chooser)(nil)
+	_ mustardsaddle.LoadQuerier = (*Chooser)(nil)
 	_ mustardsaddle.FleetSetter = (*Chooser)(nil)
 )
 
@@ -152,7 +152,7 @@
 func New(cfg Config) *Chooser {
 	cfg.MaxReportAge = cmp.Or(cfg.MaxReportAge, defaultMaxReportAge)
 	cfg.RequeryAge = cmp.Or(cfg.RequeryAge, defaultRequeryAge)
-	cfg.MaxOut = cmp.Or(cfg.MaxOut, defaultMaxEjected)
+	cfg.MaxEjected = cmp.Or(cfg.MaxEjected, defaultMaxEjected)
 	cfg.Subset = cmp.Or(cfg.Subset, defaultSubset)
 	cfg.SlowRatio = cmp.Or(cfg.SlowRatio, defaultSlowRatio)
 	cfg.ProbeInterval = cmp.Or(cfg.ProbeInterval, defaultProbeInterval)
@@ -195,12 +195,12 @@
 	c.byName = byName
 }
 
-// Ask returns up to n servers to query. If there are more candidates, half are
-// those with the best last known scores and the rest are random.
-func (c *Chooser) Ask(now time.Time, rng *rand.Rand, need mustardsaddle.Need, n int) []mustardsaddle.Server {
+// SelectQueries returns up to n servers to query. If there are more candidates, half
+// are those with the best last known scores and the rest are random.
+func (c *Chooser) SelectQueries(now time.Time, rng *rand.Rand, reqs mustardsaddle.Requirements, n int) []mustardsaddle.Server {
 	var candidates []*server
 	for _, s := range c.servers {
-		if c.eligible(now, s, need) && s.needsQuery(now, c.cfg.RequeryAge) {
+		if c.eligible(now, s, reqs) && s.needsQuery(now, c.cfg.RequeryAge) {
 			candidates = append(candidates, s)
 		}
 	}
@@ -208,7 +208,7 @@
 	if len(candidates) > n {
 		best := slices.Clone(candidates)
 		slices.SortStableFunc(best, func(a, b *server) int {
-			return cmp.Compare(a.score(now, need), b.score(now, need))
+			return cmp.Compare(a.score(now, reqs), b.score(now, reqs))
 		})
 		candidates = fill(best[:n/2], candidates, n)
 	}
@@ -234,8 +234,8 @@
 	return list
 }
 
-// Unasked reports that servers returned by Ask were not queried.
-func (c *Chooser) Unasked(servers []mustardsaddle.Server) {
+// CancelQueries reports that servers returned by SelectQueries were not queried.
+func (c *Chooser) CancelQueries(servers []mustardsaddle.Server) {
 	for _, known := range servers {
 		if s := c.byName[known.Name]; s != nil {
 			s.queriedAt = time.Time{}
@@ -243,8 +243,8 @@
 	}
 }
 
-// Asked records the result of a load query.
-func (c *Chooser) Asked(now time.Time, name string, reply mustardsaddle.Reply) {
+// RecordQuery records the result of a load query.
+func (c *Chooser) RecordQuery(now time.Time, name string, reply mustardsaddle.Reply) {
 	s := c.byName[name]
 	if s == nil {
 		return
@@ -287,14 +287,14 @@
 }
 
 // Choose picks the server with the best score among those with capacity.
-func (c *Chooser) Choose(now time.Time, rng *rand.Rand, need mustardsaddle.Need) (mustardsaddle.Choice, bool) {
+func (c *Chooser) Choose(now time.Time, rng *rand.Rand, reqs mustardsaddle.Requirements) (mustardsaddle.Choice, bool) {
 	reason := reasonReport
-	best := c.lowestScore(now, rng, need, func(s *server) bool {
+	best := c.lowestScore(now, rng, reqs, func(s *server) bool {
 		return s.fresh(now, c.cfg.MaxReportAge) && s.hasCapacity(c.cfg.SlowRatio*c.medianSlowness)
 	})
-	if best == nil && (need.Blind || !c.hasReports) {
+	if best == nil && (reqs.Unqueried || !c.hasReports) {
 		reason = reasonOwnInFlight
-		best = c.lowestScore(now, rng, need, func(s *server) bool { return s.inFlight < s.slots() })
+		best = c.lowestScore(now, rng, reqs, func(s *server) bool { return s.inFlight < s.slots() })
 	}
 	if best == nil {
 		return mustardsaddle.Choice{}, false
@@ -309,14 +309,14 @@
 // lowestScore returns the eligible server with the lowest score for which accept
 // returns true.
 // Ties are broken uniformly at random.
-func (c *Chooser) lowestScore(now time.Time, rng *rand.Rand, need mustardsaddle.Need, accept func(*server) bool) *server {
+func (c *Chooser) lowestScore(now time.Time, rng *rand.Rand, reqs mustardsaddle.Requirements, accept func(*server) bool) *server {
 	var best *server
 	lowest, ties := 0.0, 0
 	for _, s := range c.servers {
-		if !c.eligible(now, s, need) || !accept(s) {
+		if !c.eligible(now, s, reqs) || !accept(s) {
 			continue
 		}
-		score := s.score(now, need)
+		score := s.score(now, reqs)
 		switch {
 		case best == nil || score < lowest:
 			best, lowest, ties = s, score, 1
@@ -332,8 +332,8 @@
 
 // eligible reports whether a server may be queried or chosen, regardless of its
 // load.
-func (c *Chooser) eligible(now time.Time, s *server, need mustardsaddle.Need) bool {
-	return !s.Leaving && !slices.Contains(need.Exclude, s.Name) && !s.isEjected(now) && !s.unresponsive(now)
+func (c *Chooser) eligible(now time.Time, s *server, reqs mustardsaddle.Requirements) bool {
+	return !s.Leaving && !slices.Contains(reqs.Exclude, s.Name) && !s.isEjected(now) && !s.unresponsive(now)
 }
 
 // Finish records the result of a chosen attempt.
@@ -345,7 +345,7 @@
 	s.inFlight = max(s.inFlight-1, 0)
 	s.load = max(s.load-1, 0)
 	switch {
-	case r.Gone:
+	case r.AddressTaken:
 		s.markAddressTaken(now)
 		c.recordExclusion(s.Name, reasonAddressTaken, addressTakenPause, s.failureRate)
 	case r.Failed:
@@ -378,7 +378,7 @@
 			ejected++
 		}
 	}
-	if float64(ejected+1) <= c.cfg.MaxOut*float64(len(c.servers)) {
+	if float64(ejected+1) <= c.cfg.MaxEjected*float64(len(c.servers)) {
 		failureRate := s.failureRate
 		s.eject(now)
 		c.recordExclusion(s.Name, reasonFailures, s.ejectedUntil.Sub(now), failureRate)
@@ -387,11 +387,11 @@
 
 // recordExclusion keeps an exclusion for the log.
 func (c *Chooser) recordExclusion(server, reason string, d time.Duration, failureRate float64) {
-	c.exclusions = append(c.exclusions, mustardsaddle.Verdict{Server: server, Reason: reason, For: d, Failures: failureRate})
+	c.exclusions = append(c.exclusions, mustardsaddle.Exclusion{Server: server, Reason: reason, Duration: d, FailureRate: failureRate})
 }
 
-// Verdicts returns the servers that were excluded since the last call.
-func (c *Chooser) Verdicts() []mustardsaddle.Verdict {
+// Exclusions returns the servers that were excluded since the last call.
+func (c *Chooser) Exclusions() []mustardsaddle.Exclusion {
 	exclusions := c.exclusions
 	c.exclusions = nil
 	return exclusions
--- a/internal/choice/survey/survey_test.go
+++ b/internal/choice/survey/survey_test.go
@@ -14,7 +14,7 @@
 
 var (
 	start    = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	sameZone = mustardsaddle.Need{Zone: "zone-a"}
+	sameZone = mustardsaddle.Requirements{Zone: "zone-a"}
 )
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
@@ -45,7 +45,7 @@
 	for _, c := range []struct {
 		name    string
 		reports []mustardsaddle.Report
-		need    mustardsaddle.Need
+		reqs    mustardsaddle.Requirements
 		want    string
 	}{
 		{"prefers the idle server", []mustardsaddle.Report{report(start, 1, 1), report(start, 0, 1), report(start, 2, 1)}, sameZone, "booking-1"},
@@ -55,13 +55,13 @@
 		{"accepts a slow server that is idle", []mustardsaddle.Report{report(start, 0, 4), report(start, 2, 1)}, sameZone, "booking-0"},
 		{"keeps the last slot of a slow server free", []mustardsaddle.Report{report(start, 1, 4), report(start, 2, 1)}, sameZone, ""},
 		{"ignores a stale report", []mustardsaddle.Report{report(start.Add(-time.Second), 0, 1)}, sameZone, ""},
-		{"skips a server that was tried already", []mustardsaddle.Report{report(start, 0, 1)}, mustardsaddle.Need{Exclude: []string{"booking-0"}}, ""},
+		{"skips a server that was tried already", []mustardsaddle.Report{report(start, 0, 1)}, mustardsaddle.Requirements{Exclude: []string{"booking-0"}}, ""},
 	} {
 		chooser := newChooser(len(c.reports))
 		for i, r := range c.reports {
 			chooser.Observe(start, fmt.Sprintf("booking-%d", i), r)
 		}
-		choice, ok := chooser.Choose(start, newRand(), c.need)
+		choice, ok := chooser.Choose(start, newRand(), c.reqs)
 		if ok != (c.want != "") || choice.Server.Name != c.want {
 			t.Errorf("%s: got %q, want %q", c.name, choice.Server.Name, c.want)
 		}
@@ -136,11 +136,11 @@
 		})
 		convey.Convey("Without queries, it is chosen up to its number of slots", func() {
 			for range 2 {
-				choice, ok := chooser.Choose(now, newRand(), sameZone.WithBlind(true))
+				choice, ok := chooser.Choose(now, newRand(), sameZone.WithUnqueried(true))
 				convey.So(ok, convey.ShouldBeTrue)
 				convey.So(choice.Reason, convey.ShouldEqual, "Own")
 			}
-			_, ok := chooser.Choose(now, newRand(), sameZone.WithBlind(true))
+			_, ok := chooser.Choose(now, newRand(), sameZone.WithUnqueried(true))
 			convey.So(ok, convey.ShouldBeFalse)
 		})
 	})
@@ -148,12 +148,12 @@
 
 func TestQuestionsRunShort(t *testing.T) {
 	convey.Convey("Given a limit of 20 queries per second and 8 per call", t, func() {
-		q, now := survey.NewQuestions(8), start
+		q, now := survey.NewQueryLimiter(8), start
 		q.SetRate(now, 20)
 		query := func() int {
-			n := q.Next(now)
+			n := q.CallLimit(now)
 			for i := range n {
-				if !q.Take(now) {
+				if !q.Allow(now) {
 					return i
 				}
 			}
@@ -186,7 +186,7 @@
 		}
 		chooser := newChooser(256)
 		chooser.SetFleet(start, "gateway-03", fleet)
-		known := chooser.Ask(start, newRand(), sameZone, 256)
+		known := chooser.SelectQueries(start, newRand(), sameZone, 256)
 		convey.Convey("A gateway queries only its subset", func() {
 			convey.So(len(known), convey.ShouldBeBetween, 16, 64)
 		})
@@ -199,7 +199,7 @@
 		})
 		convey.Convey("A single gateway knows all servers", func() {
 			chooser.SetFleet(start, "gateway-03", fleet[3:4])
-			convey.So(chooser.Ask(start, newRand(), sameZone, 256), convey.ShouldHaveLength, 256-len(known))
+			convey.So(chooser.SelectQueries(start, newRand(), sameZone, 256), convey.ShouldHaveLength, 256-len(known))
 		})
 	})
 }
@@ -274,26 +274,26 @@
 	}{
 		{"one failure", func(chooser *survey.Chooser) { chooser.Finish(start, fail) }, ""},
 		{"two failures in a row", func(chooser *survey.Chooser) { chooser.Finish(start, fail); chooser.Finish(start, fail) }, "Failures"},
-		{"one unanswered query", func(chooser *survey.Chooser) { chooser.Asked(start, "booking-0", mustardsaddle.NoReply) }, ""},
+		{"one unanswered query", func(chooser *survey.Chooser) { chooser.RecordQuery(start, "booking-0", mustardsaddle.NoReply) }, ""},
 		{"two unanswered queries in a row", func(chooser *survey.Chooser) {
-			chooser.Asked(start, "booking-0", mustardsaddle.NoReply)
-			chooser.Asked(start, "booking-0", mustardsaddle.NoReply)
+			chooser.RecordQuery(start, "booking-0", mustardsaddle.NoReply)
+			chooser.RecordQuery(start, "booking-0", mustardsaddle.NoReply)
 		}, "Silent"},
-		{"a reply from another server", func(chooser *survey.Chooser) { chooser.Asked(start, "booking-0", mustardsaddle.OtherReply) }, "OtherServer"},
+		{"a reply from another server", func(chooser *survey.Chooser) { chooser.RecordQuery(start, "booking-0", mustardsaddle.OtherReply) }, "OtherServer"},
 	} {
 		chooser := newChooser(5)
 		c.do(chooser)
-		exclusions := chooser.Verdicts()
+		exclusions := chooser.Exclusions()
 		if c.reason == "" {
 			if len(exclusions) > 0 {
 				t.Errorf("%s: got %+v, want no exclusion", c.name, exclusions)
 			}
 			continue
 		}
-		if len(exclusions) != 1 || exclusions[0].Server != "booking-0" || exclusions[0].Reason != c.reason || exclusions[0].For <= 0 {
+		if len(exclusions) != 1 || exclusions[0].Server != "booking-0" || exclusions[0].Reason != c.reason || exclusions[0].Duration <= 0 {
 			t.Errorf("%s: got %+v, want one exclusion with reason %s", c.name, exclusions, c.reason)
 		}
-		if again := chooser.Verdicts(); len(again) > 0 {
+		if again := chooser.Exclusions(); len(again) > 0 {
 			t.Errorf("%s: got %+v again, want each exclusion returned once", c.name, again)
 		}
 	}
@@ -303,8 +303,8 @@
 	convey.Convey("Given twenty servers", t, func() {
 		chooser, rng := newChooser(20), newRand()
 		convey.Convey("Up to n servers are returned, none with a pending query", func() {
-			first := chooser.Ask(start, rng, sameZone, 8)
-			second := chooser.Ask(start, rng, sameZone, 8)
+			first := chooser.SelectQueries(start, rng, sameZone, 8)
+			second := chooser.SelectQueries(start, rng, sameZone, 8)
 			convey.So(first, convey.ShouldHaveLength, 8)
 			convey.So(second, convey.ShouldHaveLength, 8)
 			for _, s := range second {
@@ -316,8 +316,8 @@
 				chooser.Observe(start, fmt.Sprintf("booking-%d", i), report(start, 2, 4))
 			}
 			chooser.Observe(start, "booking-7", report(start, 0, 1))
-			convey.So(chooser.Ask(start.Add(time.Millisecond), rng, sameZone, 8), convey.ShouldBeEmpty)
-			later := chooser.Ask(start.Add(100*time.Millisecond), rng, sameZone, 4)
+			convey.So(chooser.SelectQueries(start.Add(time.Millisecond), rng, sameZone, 8), convey.ShouldBeEmpty)
+			later := chooser.SelectQueries(start.Add(100*time.Millisecond), rng, sameZone, 4)
 			names := make([]string, len(later))
 			for i, s := range later {
 				names[i] = s.Name
@@ -327,11 +327,11 @@
 		convey.Convey("A server that leaves two queries unanswered is skipped for a while", func() {
 			single := newChooser(1)
 			for range 2 {
-				convey.So(single.Ask(start, rng, sameZone, 8), convey.ShouldHaveLength, 1)
-				single.Asked(start, "booking-0", mustardsaddle.NoReply)
+				convey.So(single.SelectQueries(start, rng, sameZone, 8), convey.ShouldHaveLength, 1)
+				single.RecordQuery(start, "booking-0", mustardsaddle.NoReply)
 			}
-			convey.So(single.Ask(start, rng, sameZone, 8), convey.ShouldBeEmpty)
-			convey.So(single.Ask(start.Add(time.Second), rng, sameZone, 8), convey.ShouldHaveLength, 1)
+			convey.So(single.SelectQueries(start, rng, sameZone, 8), convey.ShouldBeEmpty)
+			convey.So(single.SelectQueries(start.Add(time.Second), rng, sameZone, 8), convey.ShouldHaveLength, 1)
 		})
 	})
 }
@@ -376,10 +376,10 @@
 		signal func(chooser *survey.Chooser)
 	}{
 		{"another server answers a query", func(chooser *survey.Chooser) {
-			chooser.Asked(start, "booking-0", mustardsaddle.OtherReply)
+			chooser.RecordQuery(start, "booking-0", mustardsaddle.OtherReply)
 		}},
 		{"another server answers an attempt", func(chooser *survey.Chooser) {
-			chooser.Finish(start, mustardsaddle.Result{Server: "booking-0", Outcome: mustardsaddle.NotRun, Gone: true})
+			chooser.Finish(start, mustardsaddle.Result{Server: "booking-0", Outcome: mustardsaddle.NotRun, AddressTaken: true})
 		}},
 	} {
 		chooser, rng := newChooser(1), newRand()
@@ -388,10 +388,10 @@
 		if choice, ok := chooser.Choose(start, rng, sameZone); ok {
 			t.Errorf("%s: got %s chosen, want none", c.name, choice.Server.Name)
 		}
-		if queried := chooser.Ask(start.Add(time.Second), rng, sameZone, 8); len(queried) > 0 {
+		if queried := chooser.SelectQueries(start.Add(time.Second), rng, sameZone, 8); len(queried) > 0 {
 			t.Errorf("%s: got it queried a second later, want it skipped", c.name)
 		}
-		if queried := chooser.Ask(start.Add(5*time.Second), rng, sameZone, 8); len(queried) != 1 {
+		if queried := chooser.SelectQueries(start.Add(5*time.Second), rng, sameZone, 8); len(queried) != 1 {
 			t.Errorf("%s: got %d queried later, want 1", c.name, len(queried))
 		}
 	}
--- a/internal/control/catalog/catalog.go
+++ b/internal/control/catalog/catalog.go
@@ -310,19 +310,19 @@
 }
 
 // Known returns the known revision of a collection and its age.
-func (c *Catalog) Known(now time.Time, collection mustardsaddle.Collection) mustardsaddle.Known {
+func (c *Catalog) Known(now time.Time, collection mustardsaddle.Collection) mustardsaddle.CollectionState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.known[collection]
 	if p.revision == 0 {
-		return mustardsaddle.Known{}
+		return mustardsaddle.CollectionState{}
 	}
-	return mustardsaddle.Known{Revision: p.revision, Age: max(now.Sub(p.freshAt), 0)}
+	return mustardsaddle.CollectionState{Revision: p.revision, Age: max(now.Sub(p.freshAt), 0)}
 }
 
 // Heard processes the revision and age that a peer advertises. It returns true if the
 // peer has a newer revision and is to be asked for a snapshot of the collection.
-func (c *Catalog) Heard(now time.Time, collection mustardsaddle.Collection, k mustardsaddle.Known) bool {
+func (c *Catalog) Heard(now time.Time, collection mustardsaddle.Collection, k mustardsaddle.CollectionState) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := &c.known[collection]
--- a/internal/control/catalog/catalog_test.go
+++ b/internal/control/catalog/catalog_test.go
@@ -50,7 +50,7 @@
 	return mustardsaddle.Update{}, ctx.Err()
 }
 
-func (d *fakeDirectory) Enter(context.Context, mustardsaddle.VM) error { return nil }
+func (d *fakeDirectory) Register(context.Context, mustardsaddle.VM) error { return nil }
 
 func (d *fakeDirectory) Remove(context.Context, string) error { return nil }
 
@@ -185,7 +185,7 @@
 		whole := mustardsaddle.Update{Whole: true, Revision: 5, Age: age, Machines: []mustardsaddle.Machine{machine}}
 		convey.So(c.Receive(now, "peer", collection, whole), convey.ShouldBeFalse)
 		convey.So(servers, convey.ShouldHaveLength, 1)
-		convey.So(c.Known(now, collection), convey.ShouldResemble, mustardsaddle.Known{Revision: 5, Age: age})
+		convey.So(c.Known(now, collection), convey.ShouldResemble, mustardsaddle.CollectionState{Revision: 5, Age: age})
 		convey.So(passed, convey.ShouldResemble, []forwarded{{
 			from: "peer", updates: []mustardsaddle.Update{{After: 5, Revision: 5, Age: age}},
 		}})
@@ -204,14 +204,14 @@
 			convey.So(servers, convey.ShouldHaveLength, 1)
 			convey.So(passed, convey.ShouldBeEmpty)
 			convey.So(c.Receive(now, "other", collection, change), convey.ShouldBeFalse)
-			convey.So(c.Heard(now, collection, mustardsaddle.Known{Revision: 8}), convey.ShouldBeFalse)
+			convey.So(c.Heard(now, collection, mustardsaddle.CollectionState{Revision: 8}), convey.ShouldBeFalse)
 			later := now.Add(time.Second)
-			convey.So(c.Heard(later, collection, mustardsaddle.Known{Revision: 8}), convey.ShouldBeTrue)
-			convey.So(c.Heard(later, collection, mustardsaddle.Known{Revision: 8}), convey.ShouldBeFalse)
+			convey.So(c.Heard(later, collection, mustardsaddle.CollectionState{Revision: 8}), convey.ShouldBeTrue)
+			convey.So(c.Heard(later, collection, mustardsaddle.CollectionState{Revision: 8}), convey.ShouldBeFalse)
 		})
 		convey.Convey("A peer with the same revision and a lower age makes the collection fresher", func() {
-			convey.So(c.Heard(now, collection, mustardsaddle.Known{Revision: 5, Age: 300 * time.Millisecond}), convey.ShouldBeFalse)
-			convey.So(c.Known(now, collection), convey.ShouldResemble, mustardsaddle.Known{Revision: 5, Age: 300 * time.Millisecond})
+			convey.So(c.Heard(now, collection, mustardsaddle.CollectionState{Revision: 5, Age: 300 * time.Millisecond}), convey.ShouldBeFalse)
+			convey.So(c.Known(now, collection), convey.ShouldResemble, mustardsaddle.CollectionState{Revision: 5, Age: 300 * time.Millisecond})
 		})
 		convey.Convey("A confirmation of the known revision is forwarded only if it is newer", func() {
 			later := now.Add(time.Second)
@@ -299,7 +299,7 @@
 		convey.Convey("The confirmation makes the peer as fresh as the gateway", func() {
 			later := now.Add(time.Minute)
 			convey.So(peer.Receive(later, "reader", collection, confirmation), convey.ShouldBeFalse)
-			convey.So(peer.Known(later, collection), convey.ShouldResemble, mustardsaddle.Known{Revision: 5})
+			convey.So(peer.Known(later, collection), convey.ShouldResemble, mustardsaddle.CollectionState{Revision: 5})
 		})
 		convey.Convey("A later snapshot is forwarded as the changes since the known revision", func() {
 			var passed []mustardsaddle.Update
--- a/internal/product/instance/directory.go
+++ b/internal/product/instance/directory.go
@@ -47,7 +47,7 @@
 	s := in.cfg.Settings
 	if s.Choice.Policy == settings.PolicySurvey {
 		return survey.New(survey.Config{
-			MaxOut:        noneIfZero(s.Choice.EjectShare),
+			MaxEjected:    noneIfZero(s.Choice.EjectShare),
 			ProbeInterval: interval(s.Measuring.ServerPerSecond),
 		})
 	}
--- a/internal/product/instance/instance.go
+++ b/internal/product/instance/instance.go
@@ -201,7 +201,7 @@
 
 // claims returns the claims in the platform's store. It returns nil with a directory,
 // which stores no claims, so that calls under rules with Repeat=Claim are refused.
-func (in *instance) claims() mustardsaddle.Claims {
+func (in *instance) claims() mustardsaddle.ClaimStore {
 	if in.cfg.Directory != nil {
 		return nil
 	}
--- a/internal/product/instance/listing.go
+++ b/internal/product/instance/listing.go
@@ -76,7 +76,7 @@
 	for c, known := range map[mustardsaddle.Collection]news.Known{
 		mustardsaddle.RulesCollection: theirs.Rules, mustardsaddle.ServersCollection: theirs.Servers,
 	} {
-		k := mustardsaddle.Known{Revision: known.Revision, Age: time.Duration(known.Age) * time.Millisecond}
+		k := mustardsaddle.CollectionState{Revision: known.Revision, Age: time.Duration(known.Age) * time.Millisecond}
 		if in.catalog.Heard(now, c, k) {
 			in.links.Send(from, news.AskListing{Servers: c == mustardsaddle.ServersCollection})
 		}
@@ -90,7 +90,7 @@
 	return mustardsaddle.RulesCollection
 }
 
-func knownMessage(k mustardsaddle.Known) news.Known {
+func knownMessage(k mustardsaddle.CollectionState) news.Known {
 	return news.Known{Revision: k.Revision, Age: k.Age.Milliseconds()}
 }
 
@@ -135,7 +135,7 @@
 		u, err := in.directory.Snapshot(ctx, mustardsaddle.GatewaysCollection, reads < 2)
 		unlisted := err == nil && !in.isListed(u.Machines)
 		if unlisted {
-			err = in.directory.Enter(ctx, in.self)
+			err = in.directory.Register(ctx, in.self)
 		}
 		if err != nil {
 			in.logStoreFailure(ctx, err)
--- a/internal/request/admission/lane.go
+++ b/internal/request/admission/lane.go
@@ -58,7 +58,7 @@
 	// responseBytes is the moving average of response sizes.
 	responseBytes float64
 	// queryLimit limits the load queries that this gateway sends to the service.
-	queryLimit *survey.Questions
+	queryLimit *survey.QueryLimiter
 	idleAt     map[string]time.Time // when a connection to the server last became idle
 }
 
@@ -107,7 +107,7 @@
 		queue:      slot.New(slot.Config{MaxWaiting: cfg.MaxWaiting, MinRetryAfter: cfg.MinRetryAfter}),
 		waiting:    make(map[uint64]queuedCall),
 		idleAt:     make(map[string]time.Time),
-		queryLimit: survey.NewQuestions(cfg.Ask),
+		queryLimit: survey.NewQueryLimiter(cfg.Ask),
 	}
 	if cfg.RetryWindow > 0 {
 		l.budgets.Window = booking.NewWindow(cfg.RetryWindow)
@@ -158,8 +158,8 @@
 // if other calls are queued or no server has capacity. A retry is queued only if no
 // server has capacity, and a hedge is refused then. A call that has tried every usable
 // server is refused instead of queued. If Begin permits no attempt, the refusal has
-// code.OK. Blind is true if the budgets allowed no load query before this attempt.
-func (l *Lane) Place(ctx context.Context, now time.Time, r Request, blind bool) (Placement, *refusal.Refusal) {
+// code.OK. Unqueried is true if the budgets allowed no load query before this attempt.
+func (l *Lane) Place(ctx context.Context, now time.Time, r Request, unqueried bool) (Placement, *refusal.Refusal) {
 	l.mu.Lock()
 	kind, tried, ok := r.Begin(now, &l.budgets)
 	if !ok {
@@ -167,7 +167,7 @@
 		return Placement{}, &refusal.Refusal{Code: code.OK}
 	}
 	if kind != booking.First || l.queue.Len() == 0 {
-		choice, ok := l.choose(now, l.need(tried).WithBlind(blind))
+		choice, ok := l.choose(now, l.requirements(tried).WithUnqueried(unqueried))
 		if ok {
 			l.mu.Unlock()
 			return Placement{Kind: kind, Choice: choice}, nil
@@ -257,21 +257,22 @@
 	return &refusal.Refusal{Code: code.CallOverloaded, Outcome: mustardsaddle.NotRun, RetryAfter: l.RetryAfter()}
 }
 
-// need returns the requirements of an attempt that excludes the servers already tried.
-func (l *Lane) need(tried []string) mustardsaddle.Need {
-	return mustardsaddle.Need{Exclude: tried, Zone: l.lanes.cfg.Zone, Bytes: int(l.responseBytes)}
+// requirements returns the requirements of an attempt that excludes the servers already
+// tried.
+func (l *Lane) requirements(tried []string) mustardsaddle.Requirements {
+	return mustardsaddle.Requirements{Exclude: tried, Zone: l.lanes.cfg.Zone, Bytes: int(l.responseBytes)}
 }
 
 // choose picks a server that is below its concurrency limit and counts the attempt
 // as in flight.
-func (l *Lane) choose(now time.Time, need mustardsaddle.Need) (mustardsaddle.Choice, bool) {
+func (l *Lane) choose(now time.Time, reqs mustardsaddle.Requirements) (mustardsaddle.Choice, bool) {
 	for {
-		choice, ok := l.chooser.Choose(now, l.rng, need)
+		choice, ok := l.chooser.Choose(now, l.rng, reqs)
 		if !ok || l.limits.Acquire(choice.Server.Name, l.limit(choice.Server)) {
 			return choice, ok
 		}
 		l.chooser.Finish(now, mustardsaddle.Result{Server: choice.Server.Name, Outcome: mustardsaddle.NotRun, Canceled: true})
-		need.Exclude = append(slices.Clip(need.Exclude), choice.Server.Name)
+		reqs.Exclude = append(slices.Clip(reqs.Exclude), choice.Server.Name)
 	}
 }
 
@@ -303,7 +304,7 @@
 			return
 		}
 		queued := l.waiting[id]
-		choice, ok := l.choose(now, l.need(queued.tried))
+		choice, ok := l.choose(now, l.requirements(queued.tried))
 		if !ok {
 			return
 		}
@@ -421,21 +422,21 @@
 func (l *Lane) TakeOther(now time.Time, server string) (mustardsaddle.Choice, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if choice, ok := l.choose(now, l.need([]string{server})); ok {
+	if choice, ok := l.choose(now, l.requirements([]string{server})); ok {
 		return choice, true
 	}
-	return l.choose(now, l.need(nil))
+	return l.choose(now, l.requirements(nil))
 }
 
 // logExclusions logs each server that the chooser has excluded since the last call. The
 // caller holds mu.
 func (l *Lane) logExclusions() {
-	surveyor, ok := l.chooser.(mustardsaddle.Surveyor)
+	querier, ok := l.chooser.(mustardsaddle.LoadQuerier)
 	if !ok {
 		return
 	}
-	for _, v := range surveyor.Verdicts() {
-		event.Info(l.lanes.cfg.Logger, event.ServerOut).Str("Service", l.Service).Str("Server", v.Server).
-			Str("Reason", v.Reason).Dur("For", v.For).Float64("Failures", v.Failures).Send()
+	for _, e := range querier.Exclusions() {
+		event.Info(l.lanes.cfg.Logger, event.ServerOut).Str("Service", l.Service).Str("Server", e.Server).
+			Str("Reason", e.Reason).Dur("For", e.Duration).Float64("Failures", e.FailureRate).Send()
 	}
 }
--- a/internal/request/admission/lanes.go
+++ b/internal/request/admission/lanes.go
@@ -13,8 +13,8 @@
 //	lanes.SetFleet(now, gateways)
 //	lanes.SetServers(now, "Booking", servers)
 //	l := lanes.Lane("Booking")
-//	blind := l.Ask(ctx, nil)
-//	p, refused := l.Place(ctx, now, request, blind)
+//	unqueried := l.Ask(ctx, nil)
+//	p, refused := l.Place(ctx, now, request, unqueried)
 //	if refused != nil {
 //		... // refuse the call
 //	}
--- a/internal/request/admission/options.go
+++ b/internal/request/admission/options.go
@@ -51,7 +51,7 @@
 	// MinHedge is the minimum hedge delay.
 	MinHedge time.Duration
 	// Ask is the maximum number of servers queried for their load before an attempt,
-	// if the chooser is a Surveyor.
+	// if the chooser is a LoadQuerier.
 	Ask int
 	// ProbePath is the URL path of load reports for services whose rule sets none; empty
 	// means /load.
--- a/internal/request/admission/question.go
+++ b/internal/request/admission/question.go
@@ -19,25 +19,25 @@
 // the servers of the service may receive. The caller holds mu.
 func (l *Lane) updateQueryRate(now time.Time) {
 	gateways := cmp.Or(l.lanes.gateways.Load(), defaultFleetSize)
-	l.queryLimit.SetRate(now, survey.Rate(l.lanes.cfg.ServerPerSecond, l.usable, int(gateways)))
+	l.queryLimit.SetRate(now, survey.GatewayQueryRate(l.lanes.cfg.ServerPerSecond, l.usable, int(gateways)))
 }
 
-// Ask queries a few servers for their load if the chooser is a Surveyor, and waits up
-// to survey.AnswerPatience for the responses. It returns true if the budgets allowed
+// Ask queries a few servers for their load if the chooser is a LoadQuerier, and waits up
+// to survey.QueryWait for the responses. It returns true if the budgets allowed
 // no query, so that the choice has to rely on older reports or none.
-func (l *Lane) Ask(ctx context.Context, tried []string) (blind bool) {
-	surveyor, ok := l.chooser.(mustardsaddle.Surveyor)
+func (l *Lane) Ask(ctx context.Context, tried []string) (unqueried bool) {
+	querier, ok := l.chooser.(mustardsaddle.LoadQuerier)
 	if !ok || l.lanes.cfg.Budget == nil {
 		return false
 	}
 	now := time.Now()
 	l.mu.Lock()
-	servers := surveyor.Ask(now, l.rng, l.need(tried), l.queryLimit.Next(now))
+	servers := querier.SelectQueries(now, l.rng, l.requirements(tried), l.queryLimit.CallLimit(now))
 	for i := range servers {
-		if !l.queryLimit.Take(now) || !l.lanes.cfg.Budget.Take(now, 1, probeRequestBytes+probeResponseBytes) {
-			surveyor.Unasked(servers[i:])
+		if !l.queryLimit.Allow(now) || !l.lanes.cfg.Budget.Take(now, 1, probeRequestBytes+probeResponseBytes) {
+			querier.CancelQueries(servers[i:])
 			servers = servers[:i]
-			blind = i == 0
+			unqueried = i == 0
 			break
 		}
 	}
@@ -45,11 +45,11 @@
 	if len(servers) > 0 {
 		l.queryServers(ctx, servers)
 	}
-	return blind
+	return unqueried
 }
 
 // queryServers queries servers concurrently. It returns when all have responded or after
-// survey.AnswerPatience. Later responses are still processed.
+// survey.QueryWait. Later responses are still processed.
 func (l *Lane) queryServers(ctx context.Context, servers []mustardsaddle.Server) {
 	l.Metrics.Questions.Inc(int64(len(servers)))
 	path := l.lanes.probePath(l.Service)
@@ -64,7 +64,7 @@
 			done <- struct{}{}
 		}()
 	}
-	timeout := time.NewTimer(survey.AnswerPatience)
+	timeout := time.NewTimer(survey.QueryWait)
 	defer timeout.Stop()
 	for range servers {
 		select {
@@ -80,8 +80,8 @@
 	h, reply := l.lanes.sendQuery(ctx, server, path)
 	now := time.Now()
 	l.mu.Lock()
-	if surveyor, ok := l.chooser.(mustardsaddle.Surveyor); ok {
-		surveyor.Asked(now, server.Name, reply)
+	if querier, ok := l.chooser.(mustardsaddle.LoadQuerier); ok {
+		querier.RecordQuery(now, server.Name, reply)
 	}
 	if reply == mustardsaddle.OwnReply {
 		l.idleAt[server.Name] = now
--- a/internal/request/claim/claim.go
+++ b/internal/request/claim/claim.go
@@ -10,11 +10,11 @@
 // # Usage
 //
 //	claims := claim.New(claim.Config{Store: store})
-//	c, ok, err := claims.Take(ctx, "Booking", idempotencyKey, callID)
+//	c, ok, err := claims.Acquire(ctx, "Booking", idempotencyKey, callID)
 //	if err != nil { ... }  // do not send: the state of the claim is unknown
 //	if !ok { ... }         // do not send: another call holds the claim c
 //	...                    // send the request
-//	err = claims.Settle(ctx, c.WithOutcome(mustardsaddle.Ran, 201))
+//	err = claims.RecordOutcome(ctx, c.WithOutcome(mustardsaddle.Ran, 201))
 package claim
 
 import (
@@ -44,72 +44,72 @@
 	Status  int
 }
 
-// Config configures a Keeper.
+// Config configures a Manager.
 type Config struct {
 	// Store is the platform's object store.
 	Store mustardsaddle.Store
 }
 
-// Keeper manages claims in the platform's object store. It is safe for concurrent use.
-type Keeper struct {
+// Manager manages claims in the platform's object store. It is safe for concurrent use.
+type Manager struct {
 	cfg Config
 }
 
-var _ mustardsaddle.Claims = (*Keeper)(nil)
+var _ mustardsaddle.ClaimStore = (*Manager)(nil)
 
-// New returns a Keeper.
-func New(cfg Config) *Keeper {
-	return &Keeper{cfg: cfg}
+// New returns a Manager.
+func New(cfg Config) *Manager {
+	return &Manager{cfg: cfg}
 }
 
-// Take acquires the claim of a request for holder. It takes over a claim whose recorded
-// outcome is NotRun. It returns true if holder owns the claim, and otherwise false with
-// the stored claim or an error.
-func (k *Keeper) Take(ctx context.Context, service, key, holder string) (mustardsaddle.Claim, bool, error) {
+// Acquire acquires the claim of a request for holder. It takes over a claim whose
+// recorded outcome is NotRun. It returns true if holder owns the claim, and otherwise
+// false with the stored claim or an error.
+func (m *Manager) Acquire(ctx context.Context, service, key, holder string) (mustardsaddle.Claim, bool, error) {
 	c := mustardsaddle.Claim{Key: Key(service, key), Holder: holder}
-	claimed, err := k.put(ctx, c)
+	claimed, err := m.put(ctx, c)
 	if err == nil {
 		return claimed, true, nil
 	}
-	stored, err := k.get(ctx, c.Key)
+	stored, err := m.get(ctx, c.Key)
 	if err != nil {
 		return c, false, err
 	}
 	if stored.Version > 0 && stored.Outcome == mustardsaddle.NotRun && stored.Holder != holder {
 		c.Version = stored.Version
-		if claimed, err = k.put(ctx, c); err == nil {
+		if claimed, err = m.put(ctx, c); err == nil {
 			return claimed, true, nil
 		}
-		if stored, err = k.get(ctx, c.Key); err != nil {
+		if stored, err = m.get(ctx, c.Key); err != nil {
 			return c, false, err
 		}
 	}
 	if stored.Version == 0 {
-		return c, false, code.Errorf(code.StoreUnavailable, "take claim %s: write failed and the object does not exist", c.Key)
+		return c, false, code.Errorf(code.StoreUnavailable, "acquire claim %s: write failed and the object does not exist", c.Key)
 	}
 	return stored, stored.Holder == holder, nil
 }
 
-// Settle records the outcome of the request. It fails if another call has taken over
-// the claim in the meantime.
-func (k *Keeper) Settle(ctx context.Context, c mustardsaddle.Claim) error {
-	_, err := k.put(ctx, c)
+// RecordOutcome records the outcome of the request. It fails if another call has taken
+// over the claim in the meantime.
+func (m *Manager) RecordOutcome(ctx context.Context, c mustardsaddle.Claim) error {
+	_, err := m.put(ctx, c)
 	return err
 }
 
 // put writes a claim on the condition that its version is the stored one.
-func (k *Keeper) put(ctx context.Context, c mustardsaddle.Claim) (mustardsaddle.Claim, error) {
+func (m *Manager) put(ctx context.Context, c mustardsaddle.Claim) (mustardsaddle.Claim, error) {
 	value, err := cbor.Marshal(record{Format: format, Holder: c.Holder, Outcome: int(c.Outcome), Status: c.Status})
 	if err != nil {
 		return c, code.Wrapf(code.Internal, err, "encode claim %s", c.Key)
 	}
-	c.Version, err = k.cfg.Store.Put(ctx, c.Key, value, c.Version)
+	c.Version, err = m.cfg.Store.Put(ctx, c.Key, value, c.Version)
 	return c, err
 }
 
 // get reads a claim. A claim that does not exist has version 0.
-func (k *Keeper) get(ctx context.Context, key string) (mustardsaddle.Claim, error) {
-	o, err := k.cfg.Store.Get(ctx, key)
+func (m *Manager) get(ctx context.Context, key string) (mustardsaddle.Claim, error) {
+	o, err := m.cfg.Store.Get(ctx, key)
 	if err != nil || o.Version == 0 {
 		return mustardsaddle.Claim{Key: key}, err
 	}
--- a/internal/request/claim/claim_test.go
+++ b/internal/request/claim/claim_test.go
@@ -93,10 +93,10 @@
 				if outcome != mustardsaddle.NotRun {
 					ran++
 				}
-				_ = claims.Settle(context.Background(), c.WithOutcome(outcome, 200))
+				_ = claims.RecordOutcome(context.Background(), c.WithOutcome(outcome, 200))
 				continue
 			}
-			c, held, err := claims.Take(context.Background(), "Booking", "key", holders[0])
+			c, held, err := claims.Acquire(context.Background(), "Booking", "key", holders[0])
 			holders = holders[1:]
 			if err == nil && held {
 				open = append(open, c)
@@ -125,7 +125,7 @@
 		}
 		claims := claim.New(claim.Config{Store: s})
 		takeClaim := func(holder string) (mustardsaddle.Claim, bool, error) {
-			return claims.Take(context.Background(), "Booking", "key", holder)
+			return claims.Acquire(context.Background(), "Booking", "key", holder)
 		}
 		convey.Convey("If the response to the write is lost, the claim is read back", func() {
 			faults = []fault{lost}
@@ -142,10 +142,10 @@
 		})
 		convey.Convey("A claim with outcome NotRun can be taken over, and one with outcome Ran cannot", func() {
 			c, _, _ := takeClaim("a")
-			convey.So(claims.Settle(context.Background(), c.WithOutcome(mustardsaddle.NotRun, 0)), convey.ShouldBeNil)
+			convey.So(claims.RecordOutcome(context.Background(), c.WithOutcome(mustardsaddle.NotRun, 0)), convey.ShouldBeNil)
 			c, held, _ := takeClaim("b")
 			convey.So(held, convey.ShouldBeTrue)
-			convey.So(claims.Settle(context.Background(), c.WithOutcome(mustardsaddle.Ran, 201)), convey.ShouldBeNil)
+			convey.So(claims.RecordOutcome(context.Background(), c.WithOutcome(mustardsaddle.Ran, 201)), convey.ShouldBeNil)
 			c, held, _ = takeClaim("c")
 			convey.So([]any{held, c.Outcome, c.Status, c.Holder}, convey.ShouldResemble, []any{false, mustardsaddle.Ran, 201, "b"})
 		})
--- a/internal/request/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -237,13 +237,13 @@
 	}
 	timedOut := a.timedOut()
 	l.Finish(time.Now(), mustardsaddle.Result{
-		Server:   a.placement.Choice.Server.Name,
-		Outcome:  a.outcome,
-		Shed:     a.shed,
-		Gone:     a.resp != nil && a.misdirected(),
-		Failed:   a.isServerFault() && (!canceled || timedOut),
-		Canceled: canceled && !timedOut,
-		Latency:  a.latency,
+		Server:       a.placement.Choice.Server.Name,
+		Outcome:      a.outcome,
+		Shed:         a.shed,
+		AddressTaken: a.resp != nil && a.misdirected(),
+		Failed:       a.isServerFault() && (!canceled || timedOut),
+		Canceled:     canceled && !timedOut,
+		Latency:      a.latency,
 	}, a.outcome == mustardsaddle.Ran && !canceled)
 }
 
--- a/internal/request/gateway/call.go
+++ b/internal/request/gateway/call.go
@@ -141,8 +141,8 @@
 
 // admit obtains permission for one more attempt and a server to send it to.
 func (c *call) admit() (admission.Placement, *refusal.Refusal) {
-	blind := c.match.lane.Ask(c.r.Context(), c.triedServers())
-	p, refused := c.match.lane.Place(c.r.Context(), time.Now(), c.request, blind)
+	unqueried := c.match.lane.Ask(c.r.Context(), c.triedServers())
+	p, refused := c.match.lane.Place(c.r.Context(), time.Now(), c.request, unqueried)
 	if refused != nil {
 		if refused.Code != code.OK {
 			c.endAttempt(mustardsaddle.NotRun)
--- a/internal/request/gateway/claim.go
+++ b/internal/request/gateway/claim.go
@@ -29,7 +29,7 @@
 	}
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline)
 	defer cancel()
-	claim, held, err := c.g.cfg.Claims.Take(ctx, c.match.lane.Service, key, c.g.nextAttempt())
+	claim, held, err := c.g.cfg.Claims.Acquire(ctx, c.match.lane.Service, key, c.g.nextAttempt())
 	if err != nil {
 		return refusal.NotRun(code.Of(err))
 	}
@@ -56,7 +56,7 @@
 	_ = http.NewResponseController(c.w).Flush()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(c.r.Context()), settleTimeout)
 	defer cancel()
-	if err := c.g.cfg.Claims.Settle(ctx, c.claim.WithOutcome(outcome, status)); err != nil {
+	if err := c.g.cfg.Claims.RecordOutcome(ctx, c.claim.WithOutcome(outcome, status)); err != nil {
 		event.Warn(c.g.cfg.Logger, event.StoreFailed).Str("Key", c.claim.Key).Err(err).Send()
 	}
 }
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -103,7 +103,7 @@
 	Services map[string]Service
 	// Claims stores the claims of requests whose rule has Repeat=Claim; if nil, such
 	// requests are refused.
-	Claims mustardsaddle.Claims
+	Claims mustardsaddle.ClaimStore
 	// Metrics receives counters and histograms; nil disables them.
 	Metrics tally.Scope
 	// Logger receives the log events.
--- a/internal/standin/model/gateway.go
+++ b/internal/standin/model/gateway.go
@@ -40,7 +40,7 @@
 	chooser     mustardsaddle.Chooser
 	queue       *slot.Queue
 	budgets     booking.Budgets
-	queryBudget *survey.Questions
+	queryBudget *survey.QueryLimiter
 	waiting     map[uint64]*call
 	lastID      uint64
 	polling     bool
@@ -52,14 +52,14 @@
 		sim: sim, zone: vm.Zone, rng: rand.New(rand.NewPCG(sim.cfg.Seed, 1000+seed)),
 		chooser:     sim.cfg.Policy.NewChooser(),
 		queue:       slot.New(slot.Config{MaxWaiting: maxWaiting, MinRetryAfter: minRetryAfter}),
-		queryBudget: survey.NewQuestions(sim.cfg.Policy.MaxQueries),
+		queryBudget: survey.NewQueryLimiter(sim.cfg.Policy.MaxQueries),
 		waiting:     make(map[uint64]*call),
 		budgets: booking.Budgets{
 			Window: booking.NewWindow(retryWindow),
 			Bounds: booking.Bounds{Share: retryShare, Slack: retrySlack / n},
 		},
 	}
-	g.queryBudget.SetRate(epoch, survey.Rate(sim.cfg.Pattern.MaxQueryRate, len(servers), len(fleet)))
+	g.queryBudget.SetRate(epoch, survey.GatewayQueryRate(sim.cfg.Pattern.MaxQueryRate, len(servers), len(fleet)))
 	g.chooser.SetServers(epoch, servers)
 	if f, ok := g.chooser.(mustardsaddle.FleetSetter); ok {
 		f.SetFleet(epoch, vm.Name, fleet)
@@ -102,30 +102,30 @@
 		c.finish(Failed)
 		return
 	}
-	c.gateway.queryLoads(c.tried, func(blind bool) { c.admit(kind, blind) })
+	c.gateway.queryLoads(c.tried, func(unqueried bool) { c.admit(kind, unqueried) })
 }
 
 // admit sends the attempt to a server, queues the call, or refuses it. A first
 // attempt does not overtake calls in the queue.
-func (c *call) admit(kind booking.Kind, blind bool) {
+func (c *call) admit(kind booking.Kind, unqueried bool) {
 	if c.done {
 		return
 	}
 	g, now := c.gateway, c.gateway.sim.loop.now
 	if kind != booking.First || g.queue.Len() == 0 {
-		if choice, ok := g.choose(c.tried, blind); ok {
+		if choice, ok := g.choose(c.tried, unqueried); ok {
 			c.send(choice.Server)
 			return
 		}
 	}
-	verdict := g.queue.Join(now, c.ticket())
-	if !verdict.Waits {
+	joined := g.queue.Join(now, c.ticket())
+	if !joined.Waits {
 		c.state.End(mustardsaddle.NotRun)
 		c.finish(Refused)
 		return
 	}
 	g.waiting[c.id] = c
-	g.sim.loop.schedule(verdict.Until, g.refuseExpired)
+	g.sim.loop.schedule(joined.Until, g.refuseExpired)
 	g.poll()
 }
 
@@ -186,13 +186,13 @@
 	}
 }
 
-// choose chooses a server that has not been tried. blind is true if the query budget
+// choose chooses a server that has not been tried. unqueried is true if the query budget
 // allowed no load query for this attempt.
-func (g *gateway) choose(tried []string, blind bool) (mustardsaddle.Choice, bool) {
+func (g *gateway) choose(tried []string, unqueried bool) (mustardsaddle.Choice, bool) {
 	if g.sim.cfg.Policy.PerfectInformation {
 		g.observeAll()
 	}
-	return g.chooser.Choose(g.sim.loop.now, g.rng, mustardsaddle.Need{Exclude: tried, Zone: g.zone, Blind: blind})
+	return g.chooser.Choose(g.sim.loop.now, g.rng, mustardsaddle.Requirements{Exclude: tried, Zone: g.zone, Unqueried: unqueried})
 }
 
 // observeAll gives the chooser the current load of every healthy server, including
@@ -216,21 +216,21 @@
 }
 
 // queryLoads queries the load of the servers that the chooser selects, within the
-// query budget. It calls done once all have replied or survey.AnswerPatience has
-// passed; blind is true if the budget allowed no query.
-func (g *gateway) queryLoads(tried []string, done func(blind bool)) {
-	surveyor, ok := g.chooser.(mustardsaddle.Surveyor)
+// query budget. It calls done once all have replied or survey.QueryWait has
+// passed; unqueried is true if the budget allowed no query.
+func (g *gateway) queryLoads(tried []string, done func(unqueried bool)) {
+	querier, ok := g.chooser.(mustardsaddle.LoadQuerier)
 	if !ok || g.sim.cfg.Policy.PerfectInformation {
 		done(false)
 		return
 	}
 	now := g.sim.loop.now
-	blind := false
-	servers := surveyor.Ask(now, g.rng, mustardsaddle.Need{Exclude: tried, Zone: g.zone}, g.queryBudget.Next(now))
+	unqueried := false
+	servers := querier.SelectQueries(now, g.rng, mustardsaddle.Requirements{Exclude: tried, Zone: g.zone}, g.queryBudget.CallLimit(now))
 	for i := range servers {
-		if !g.queryBudget.Take(now) {
-			surveyor.Unasked(servers[i:])
-			blind = i == 0
+		if !g.queryBudget.Allow(now) {
+			querier.CancelQueries(servers[i:])
+			unqueried = i == 0
 			servers = servers[:i]
 			break
 		}
@@ -240,16 +240,16 @@
 	finish := func() {
 		if !finished {
 			finished = true
-			done(blind)
+			done(unqueried)
 		}
 	}
 	if pending == 0 {
 		finish()
 		return
 	}
-	g.sim.loop.scheduleAfter(survey.AnswerPatience, finish)
+	g.sim.loop.scheduleAfter(survey.QueryWait, finish)
 	for _, known := range servers {
-		g.queryServer(surveyor, g.sim.byName[known.Name], func() {
+		g.queryServer(querier, g.sim.byName[known.Name], func() {
 			pending--
 			if pending == 0 {
 				finish()
@@ -260,16 +260,16 @@
 
 // queryServer queries the load of one server and calls done with its reply. An
 // unresponsive server does not reply, and the query times out.
-func (g *gateway) queryServer(surveyor mustardsaddle.Surveyor, s *server, done func()) {
+func (g *gateway) queryServer(querier mustardsaddle.LoadQuerier, s *server, done func()) {
 	delay := g.delay(s)
 	g.sim.loop.scheduleAfter(delay, func() {
 		if s.unresponsive {
-			g.sim.loop.scheduleAfter(survey.AnswerPatience, func() { surveyor.Asked(g.sim.loop.now, s.name, mustardsaddle.NoReply) })
+			g.sim.loop.scheduleAfter(survey.QueryWait, func() { querier.RecordQuery(g.sim.loop.now, s.name, mustardsaddle.NoReply) })
 			return
 		}
 		rep := s.report()
 		g.sim.loop.scheduleAfter(delay, func() {
-			surveyor.Asked(g.sim.loop.now, s.name, mustardsaddle.OwnReply)
+			querier.RecordQuery(g.sim.loop.now, s.name, mustardsaddle.OwnReply)
 			rep.At = g.sim.loop.now
 			g.chooser.Observe(g.sim.loop.now, s.name, rep)
 			done()
--- a/internal/standin/model/policy.go
+++ b/internal/standin/model/policy.go
@@ -21,7 +21,7 @@
 	// NewChooser returns a chooser for one gateway.
 	NewChooser func() mustardsaddle.Chooser
 	// MaxQueries is the maximum number of servers queried for their load before an
-	// attempt, if the chooser is a Surveyor.
+	// attempt, if the chooser is a LoadQuerier.
 	MaxQueries int
 	// WaitDivisor sets how long a call may wait in the queue of a gateway: its target
 	// latency divided by WaitDivisor; 0 means slot.PatienceShare.
