--- a/internal/choice/report/budget.go
+++ b/internal/choice/report/budget.go
@@ -34,14 +34,14 @@
 
 // Stats compares the usage of a Budget with its configured rates.
 type Stats struct {
-	// Spent is the total cost of the permitted probes.
-	Spent Cost
+	// Used is the total cost of the permitted probes.
+	Used Cost
 	// Refused is the number of probes that the budget did not permit.
 	Refused int64
-	// AgreedMessagesPerSecond is the configured message rate.
-	AgreedMessagesPerSecond float64
-	// AgreedBytesPerSecond is the configured byte rate.
-	AgreedBytesPerSecond float64
+	// MessagesPerSecond is the configured message rate.
+	MessagesPerSecond float64
+	// BytesPerSecond is the configured byte rate.
+	BytesPerSecond float64
 }
 
 // Budget limits the cost of this gateway's probes by two token buckets, one for
@@ -58,7 +58,7 @@
 	latest   time.Time
 	messages *rate.Limiter
 	bytes    *rate.Limiter
-	spent    Cost
+	used     Cost
 	refused  int64
 }
 
@@ -106,12 +106,12 @@
 	setLimiter(at, b.bytes, cfg.BytesPerSecond, cfg.Burst, ProbeBytes)
 }
 
-// Take consumes tokens for messages of the given total size. If either bucket has
+// Allow consumes tokens for messages of the given total size. If either bucket has
 // too few, it consumes nothing and returns false.
-func (b *Budget) Take(now time.Time, messages, bytes int) bool {
+func (b *Budget) Allow(now time.Time, messages, bytes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.take(b.monotonic(now), messages, bytes)
+	return b.allow(b.monotonic(now), messages, bytes)
 }
 
 // Stats returns the usage so far and the configured rates.
@@ -119,10 +119,10 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return Stats{
-		Spent:                   b.spent,
-		Refused:                 b.refused,
-		AgreedMessagesPerSecond: b.cfg.MessagesPerSecond,
-		AgreedBytesPerSecond:    b.cfg.BytesPerSecond,
+		Used:              b.used,
+		Refused:           b.refused,
+		MessagesPerSecond: b.cfg.MessagesPerSecond,
+		BytesPerSecond:    b.cfg.BytesPerSecond,
 	}
 }
 
@@ -135,7 +135,7 @@
 	return b.latest
 }
 
-func (b *Budget) take(now time.Time, messages, bytes int) bool {
+func (b *Budget) allow(now time.Time, messages, bytes int) bool {
 	if messages < 0 || bytes < 0 ||
 		b.messages.TokensAt(now) < float64(messages) || b.bytes.TokensAt(now) < float64(bytes) {
 		b.refused++
@@ -147,7 +147,7 @@
 		b.refused++
 		return false
 	}
-	b.spent.Messages += int64(messages)
-	b.spent.Bytes += int64(bytes)
+	b.used.Messages += int64(messages)
+	b.used.Bytes += int64(bytes)
 	return true
 }
--- a/internal/choice/report/report.go
+++ b/internal/choice/report/report.go
@@ -11,7 +11,7 @@
 //	rep, err := report.Parse(now, resp.Header.Get(report.Header))
 //
 //	budget := report.NewBudget(report.BudgetConfig{MessagesPerSecond: 20, BytesPerSecond: 8192})
-//	if budget.Take(now, 1, report.ProbeBytes) {
+//	if budget.Allow(now, 1, report.ProbeBytes) {
 //		// send one probe
 //	}
 package report
--- a/internal/choice/report/report_test.go
+++ b/internal/choice/report/report_test.go
@@ -114,7 +114,7 @@
 				latest = now
 			}
 			s := permittedProbe{at: latest, messages: 1 + rng.IntN(2), bytes: rng.IntN(900)}
-			if b.Take(now, s.messages, s.bytes) {
+			if b.Allow(now, s.messages, s.bytes) {
 				all = append(all, s)
 			}
 		}
@@ -127,8 +127,8 @@
 			sum.Messages += int64(s.messages)
 			sum.Bytes += int64(s.bytes)
 		}
-		if got := b.Stats().Spent; got != sum {
-			t.Fatalf("spent: got %+v, want %+v", got, sum)
+		if got := b.Stats().Used; got != sum {
+			t.Fatalf("used: got %+v, want %+v", got, sum)
 		}
 	})
 }
@@ -136,17 +136,17 @@
 func TestBudgetRefusal(t *testing.T) {
 	convey.Convey("Given a budget whose byte bucket is empty", t, func() {
 		b := report.NewBudget(report.BudgetConfig{MessagesPerSecond: 10, BytesPerSecond: 400})
-		convey.So(b.Take(start, 1, 400), convey.ShouldBeTrue)
-		convey.So(b.Take(start, 1, 400), convey.ShouldBeFalse)
+		convey.So(b.Allow(start, 1, 400), convey.ShouldBeTrue)
+		convey.So(b.Allow(start, 1, 400), convey.ShouldBeFalse)
 		convey.Convey("a refused probe consumes nothing, and the bucket refills over time", func() {
-			convey.So(b.Take(start.Add(time.Second), 1, 400), convey.ShouldBeTrue)
+			convey.So(b.Allow(start.Add(time.Second), 1, 400), convey.ShouldBeTrue)
 			convey.So(b.Stats(), convey.ShouldResemble, report.Stats{
-				Spent: report.Cost{Messages: 2, Bytes: 800}, Refused: 1,
-				AgreedMessagesPerSecond: 10, AgreedBytesPerSecond: 400,
+				Used: report.Cost{Messages: 2, Bytes: 800}, Refused: 1,
+				MessagesPerSecond: 10, BytesPerSecond: 400,
 			})
 		})
 	})
 	convey.Convey("Given a budget with zero rates, no probe is permitted", t, func() {
-		convey.So(report.NewBudget(report.BudgetConfig{}).Take(start, 1, 1), convey.ShouldBeFalse)
+		convey.So(report.NewBudget(report.BudgetConfig{}).Allow(start, 1, 1), convey.ShouldBeFalse)
 	})
 }
--- a/internal/product/instance/instance.go
+++ b/internal/product/instance/instance.go
@@ -150,7 +150,7 @@
 	})
 	in.probeBudget = report.NewBudget(probeRates(s))
 	in.gateway = in.newGateway(seed)
-	in.prober = admission.NewProber(admission.ProberConfig{Lanes: in.gateway.Lanes(), Budget: in.probeBudget})
+	in.prober = admission.NewProber(admission.ProberConfig{Controllers: in.gateway.Controllers(), Budget: in.probeBudget})
 	in.membership = newMembership(in.rosterChanged)
 	in.links = in.newLinks(seed)
 	if cfg.Directory != nil {
@@ -166,31 +166,31 @@
 
 func (in *instance) newGateway(seed uint64) *gateway.Gateway {
 	s := in.cfg.Settings
-	services := make(map[string]gateway.Service)
+	services := make(map[string]gateway.ServiceConfig)
 	for _, v := range s.Services() {
-		services[v.Name] = gateway.Service{NotRunStatus: v.NotRunStatus, NotRunHeader: v.NotRunHeader}
+		services[v.Name] = gateway.ServiceConfig{NotRunStatus: v.NotRunStatus, NotRunHeader: v.NotRunHeader}
 	}
 	return gateway.New(gateway.Config{
-		Name:      s.Gateway.Name,
-		Deadline:  s.Limits.Deadline,
-		Progress:  s.Limits.Progress,
-		BodyBytes: s.Limits.BodyBytes,
-		Headers:   headerNames(s.Headers),
-		Services:  services,
+		Name:            s.Gateway.Name,
+		Deadline:        s.Limits.Deadline,
+		ProgressTimeout: s.Limits.Progress,
+		MaxBodyBytes:    s.Limits.BodyBytes,
+		Headers:         headerNames(s.Headers),
+		Services:        services,
 		Admission: admission.Options{
-			Zone:            s.Gateway.Zone,
-			MaxWaiting:      noneIfZero(s.Limits.QueueLength),
-			RetryShare:      noneIfZero(s.Retry.RetryShare),
-			RetryWindow:     s.Retry.Window,
-			RetrySlack:      s.Retry.Slack,
-			HedgeShare:      noneIfZero(s.Retry.HedgeShare),
-			HedgeQuantile:   s.Retry.HedgeQuantile,
-			Ask:             s.Choice.Ask,
-			ProbePath:       s.Measuring.Path,
-			ServerPerSecond: s.Measuring.ServerPerSecond,
-			Budget:          in.probeBudget,
-			NewChooser:      in.newChooser,
-			OnReport:        in.handleReport,
+			Zone:                 s.Gateway.Zone,
+			MaxQueued:            noneIfZero(s.Limits.QueueLength),
+			RetryShare:           noneIfZero(s.Retry.RetryShare),
+			RetryWindow:          s.Retry.Window,
+			RetrySlack:           s.Retry.Slack,
+			HedgeShare:           noneIfZero(s.Retry.HedgeShare),
+			HedgeQuantile:        s.Retry.HedgeQuantile,
+			MaxLoadQueries:       s.Choice.Ask,
+			ProbePath:            s.Measuring.Path,
+			LoadQueriesPerServer: s.Measuring.ServerPerSecond,
+			Budget:               in.probeBudget,
+			NewChooser:           in.newChooser,
+			OnReport:             in.handleReport,
 		},
 		Claims:  in.claims(),
 		Metrics: in.metrics.Scope(),
--- a/internal/product/instance/reload.go
+++ b/internal/product/instance/reload.go
@@ -29,7 +29,7 @@
 func (in *instance) applySettings(now time.Time, s settings.Settings) {
 	old := *in.current.Load()
 	in.probeBudget.SetRates(now, probeRates(s))
-	in.gateway.SetRetry(now, booking.Bounds{Share: s.Retry.RetryShare, Slack: s.Retry.Slack})
+	in.gateway.SetRetryBudget(now, booking.Bounds{Share: s.Retry.RetryShare, Slack: s.Retry.Slack})
 	next := old.WithMeasuring(s.Measuring).WithRetry(s.Retry).WithStop(s.Stop)
 	in.current.Store(&next)
 	event.Info(in.cfg.Logger, event.SettingsReloaded).Strs("InForce", next.Changed(old)).
--- a/internal/product/instance/serve.go
+++ b/internal/product/instance/serve.go
@@ -92,10 +92,10 @@
 func (in *instance) serve(l listeners) <-chan error {
 	s := in.cfg.Settings
 	in.callerServer = gateway.NewServer(gateway.ServerConfig{
-		Handler:       in.gateway,
-		HeaderBytes:   s.Limits.HeaderBytes,
-		HeaderTimeout: s.Limits.Progress,
-		Logger:        in.cfg.Logger,
+		Handler:        in.gateway,
+		MaxHeaderBytes: s.Limits.HeaderBytes,
+		HeaderTimeout:  s.Limits.Progress,
+		Logger:         in.cfg.Logger,
 	})
 	in.adminServer = &http.Server{Handler: in.adminHandler(), ReadHeaderTimeout: s.Limits.Progress}
 	peers := mux.NewRouter()
@@ -162,11 +162,11 @@
 		Links:            links.Links,
 		PeerMessages:     links.SentMessages + links.ReceivedMessages,
 		PeerBytes:        links.SentBytes + links.ReceivedBytes,
-		Probes:           probes.Spent.Messages,
-		ProbeBytes:       probes.Spent.Bytes,
+		Probes:           probes.Used.Messages,
+		ProbeBytes:       probes.Used.Bytes,
 		ProbesRefused:    probes.Refused,
-		ProbesAgreed:     probes.AgreedMessagesPerSecond,
-		ProbeBytesAgreed: probes.AgreedBytesPerSecond,
+		ProbesAgreed:     probes.MessagesPerSecond,
+		ProbeBytesAgreed: probes.BytesPerSecond,
 		StoreReads:       storeCalls.Reads,
 		StoreWatches:     storeCalls.Watches,
 		StoreWrites:      storeCalls.Writes,
--- a/internal/request/admission/lane.go
+++ b/internal/request/admission/lane.go
@@ -35,11 +35,11 @@
 	initialHedgeDelay = 100 * time.Millisecond
 )
 
-// Lane is the admission controller of one service. It holds the load balancing
+// Controller is the admission controller of one service. It holds the load balancing
 // policy, the queue and the budgets that the calls of the service share, all guarded
 // by one mutex.
-type Lane struct {
-	lanes *Lanes
+type Controller struct {
+	controllers *Controllers
 	// Service is the name of the service.
 	Service string
 	// Metrics holds the metrics of the service.
@@ -74,15 +74,15 @@
 type Request struct {
 	// Begin starts another attempt if the call and the budgets allow one. It returns
 	// the kind of the attempt and the servers that the call has already tried. The
-	// Lane calls it with its mutex held.
+	// Controller calls it with its mutex held.
 	Begin func(now time.Time, b *booking.Budgets) (kind booking.Kind, tried []string, ok bool)
-	// Ticket returns the call's queue entry under the given ID.
-	Ticket func(id uint64) slot.Ticket
+	// Entry returns the call's queue entry under the given ID.
+	Entry func(id uint64) slot.Entry
 }
 
-// Placement is the server assigned to an attempt. The attempt counts as in flight
+// Assignment is the server assigned to an attempt. The attempt counts as in flight
 // until Finish.
-type Placement struct {
+type Assignment struct {
 	// Kind says whether the attempt is a first attempt, a retry or a hedge.
 	Kind   booking.Kind
 	Choice mustardsaddle.Choice
@@ -90,40 +90,40 @@
 	Queued time.Duration
 }
 
-func newLane(s *Lanes, service string) *Lane {
-	cfg := s.cfg
-	l := &Lane{
-		lanes:   s,
-		Service: service,
-		Metrics: newMetrics(cfg.Metrics, service),
-		rng:     rand.New(rand.NewPCG(cfg.Seed, uint64(len(service)))),
-		chooser: cfg.NewChooser(service),
+func newController(cs *Controllers, service string) *Controller {
+	cfg := cs.cfg
+	c := &Controller{
+		controllers: cs,
+		Service:     service,
+		Metrics:     newMetrics(cfg.Metrics, service),
+		rng:         rand.New(rand.NewPCG(cfg.Seed, uint64(len(service)))),
+		chooser:     cfg.NewChooser(service),
 		budgets: booking.Budgets{
 			Retry: newBudget(cfg.RetryShare),
 			Hedge: newBudget(cfg.HedgeShare),
 		},
 		latency:    booking.Latency{Quantile: cfg.HedgeQuantile},
 		limits:     slot.NewLimits(),
-		queue:      slot.New(slot.Config{MaxWaiting: cfg.MaxWaiting, MinRetryAfter: cfg.MinRetryAfter}),
+		queue:      slot.New(slot.Config{MaxQueued: cfg.MaxQueued, MinRetryAfter: cfg.MinRetryAfter}),
 		waiting:    make(map[uint64]queuedCall),
 		idleAt:     make(map[string]time.Time),
-		queryLimit: survey.NewQueryLimiter(cfg.Ask),
+		queryLimit: survey.NewQueryLimiter(cfg.MaxLoadQueries),
 	}
 	if cfg.RetryWindow > 0 {
-		l.budgets.Window = booking.NewWindow(cfg.RetryWindow)
+		c.budgets.Window = booking.NewWindow(cfg.RetryWindow)
 	}
-	l.updateRetryBounds()
-	return l
+	c.updateRetryBounds()
+	return c
 }
 
 // updateRetryBounds updates the retry bounds and divides the fleet's slack by the number
 // of gateways. Part of the slack is held back for gateways that start without a record
 // of the retries they have sent.
-func (l *Lane) updateRetryBounds() {
-	gateways := cmp.Or(l.lanes.gateways.Load(), defaultFleetSize)
-	bounds := *l.lanes.retry.Load()
+func (c *Controller) updateRetryBounds() {
+	gateways := cmp.Or(c.controllers.gateways.Load(), defaultFleetSize)
+	bounds := *c.controllers.retry.Load()
 	bounds.Slack *= plannedSlackShare / float64(gateways)
-	l.budgets.Bounds = bounds
+	c.budgets.Bounds = bounds
 }
 
 // newBudget returns a budget for the given share of calls. A negative share grants
@@ -135,143 +135,143 @@
 	return booking.NewBudget(share, budgetBurst)
 }
 
-func (l *Lane) setServers(now time.Time, servers []mustardsaddle.Server) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.chooser.SetServers(now, servers)
-	l.usable = 0
+func (c *Controller) setServers(now time.Time, servers []mustardsaddle.Server) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.chooser.SetServers(now, servers)
+	c.usable = 0
 	idleAt := make(map[string]time.Time, len(servers))
 	for _, s := range servers {
-		if at, ok := l.idleAt[s.Name]; ok {
+		if at, ok := c.idleAt[s.Name]; ok {
 			idleAt[s.Name] = at
 		}
 		if !s.Leaving {
-			l.usable++
+			c.usable++
 		}
 	}
-	l.idleAt = idleAt
-	l.updateQueryRate(now)
-	l.dispatchQueued(now)
+	c.idleAt = idleAt
+	c.updateQueryRate(now)
+	c.dispatchQueued(now)
 }
 
-// Place starts an attempt of the call and chooses its server. A first attempt is queued
+// Admit starts an attempt of the call and chooses its server. A first attempt is queued
 // if other calls are queued or no server has capacity. A retry is queued only if no
 // server has capacity, and a hedge is refused then. A call that has tried every usable
 // server is refused instead of queued. If Begin permits no attempt, the refusal has
 // code.OK. Unqueried is true if the budgets allowed no load query before this attempt.
-func (l *Lane) Place(ctx context.Context, now time.Time, r Request, unqueried bool) (Placement, *refusal.Refusal) {
-	l.mu.Lock()
-	kind, tried, ok := r.Begin(now, &l.budgets)
+func (c *Controller) Admit(ctx context.Context, now time.Time, r Request, unqueried bool) (Assignment, *refusal.Refusal) {
+	c.mu.Lock()
+	kind, tried, ok := r.Begin(now, &c.budgets)
 	if !ok {
-		l.mu.Unlock()
-		return Placement{}, &refusal.Refusal{Code: code.OK}
+		c.mu.Unlock()
+		return Assignment{}, &refusal.Refusal{Code: code.OK}
 	}
-	if kind != booking.First || l.queue.Len() == 0 {
-		choice, ok := l.choose(now, l.requirements(tried).WithUnqueried(unqueried))
+	if kind != booking.First || c.queue.Len() == 0 {
+		choice, ok := c.choose(now, c.requirements(tried).WithUnqueried(unqueried))
 		if ok {
-			l.mu.Unlock()
-			return Placement{Kind: kind, Choice: choice}, nil
+			c.mu.Unlock()
+			return Assignment{Kind: kind, Choice: choice}, nil
 		}
 	}
-	if kind == booking.Hedge || l.usable <= len(tried) {
-		defer l.mu.Unlock()
-		return Placement{}, &refusal.Refusal{Code: code.CallNoServer, Outcome: mustardsaddle.NotRun, RetryAfter: l.queue.RetryAfter()}
+	if kind == booking.Hedge || c.usable <= len(tried) {
+		defer c.mu.Unlock()
+		return Assignment{}, &refusal.Refusal{Code: code.CallNoServer, Outcome: mustardsaddle.NotRun, RetryAfter: c.queue.RetryAfter()}
 	}
-	l.lastID++
-	id := l.lastID
-	joined := l.queue.Join(now, r.Ticket(id))
-	if !joined.Waits {
-		l.mu.Unlock()
-		return Placement{}, &refusal.Refusal{Code: code.CallOverloaded, Outcome: mustardsaddle.NotRun, RetryAfter: joined.RetryAfter}
+	c.lastID++
+	id := c.lastID
+	joined := c.queue.Join(now, r.Entry(id))
+	if !joined.Queued {
+		c.mu.Unlock()
+		return Assignment{}, &refusal.Refusal{Code: code.CallOverloaded, Outcome: mustardsaddle.NotRun, RetryAfter: joined.RetryAfter}
 	}
 	assigned := make(chan mustardsaddle.Choice, 1)
-	l.waiting[id] = queuedCall{tried: tried, assigned: assigned}
-	l.mu.Unlock()
-	p, refused := l.wait(ctx, now, id, joined.Until, assigned)
-	p.Kind = kind
-	return p, refused
+	c.waiting[id] = queuedCall{tried: tried, assigned: assigned}
+	c.mu.Unlock()
+	assignment, refused := c.wait(ctx, now, id, joined.ExpiresAt, assigned)
+	assignment.Kind = kind
+	return assignment, refused
 }
 
 // wait blocks until a server is assigned to the queued call, its wait expires or its
 // context is done.
-func (l *Lane) wait(ctx context.Context, since time.Time, id uint64, until time.Time, assigned chan mustardsaddle.Choice) (Placement, *refusal.Refusal) {
+func (c *Controller) wait(ctx context.Context, since time.Time, id uint64, expiresAt time.Time, assigned chan mustardsaddle.Choice) (Assignment, *refusal.Refusal) {
 	poll := time.NewTicker(slot.PollInterval)
 	defer poll.Stop()
-	expiry := time.NewTimer(time.Until(until))
+	expiry := time.NewTimer(time.Until(expiresAt))
 	defer expiry.Stop()
 	for {
 		select {
 		case choice, ok := <-assigned:
 			if !ok {
-				return Placement{}, l.overloaded()
+				return Assignment{}, c.overloaded()
 			}
-			return Placement{Choice: choice, Queued: time.Since(since)}, nil
+			return Assignment{Choice: choice, Queued: time.Since(since)}, nil
 		case <-poll.C:
-			l.poll(ctx, id)
+			c.poll(ctx, id)
 			continue
 		case <-expiry.C:
 		case <-ctx.Done():
 		}
-		if l.leave(id) {
-			return Placement{}, l.overloaded()
+		if c.removeQueued(id) {
+			return Assignment{}, c.overloaded()
 		}
 		// The call was removed from the queue concurrently, so the channel holds a
 		// server or is closed.
 		choice, ok := <-assigned
 		if !ok {
-			return Placement{}, l.overloaded()
+			return Assignment{}, c.overloaded()
 		}
-		return Placement{Choice: choice, Queued: time.Since(since)}, nil
+		return Assignment{Choice: choice, Queued: time.Since(since)}, nil
 	}
 }
 
 // poll queries server load and retries the queue if the call is at its head.
-func (l *Lane) poll(ctx context.Context, id uint64) {
-	l.mu.Lock()
-	first, ok := l.queue.First(time.Now())
-	tried := l.waiting[id].tried
-	l.mu.Unlock()
-	if !ok || first != id {
+func (c *Controller) poll(ctx context.Context, id uint64) {
+	c.mu.Lock()
+	next, ok := c.queue.Next(time.Now())
+	tried := c.waiting[id].tried
+	c.mu.Unlock()
+	if !ok || next != id {
 		return
 	}
-	l.Ask(ctx, tried)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.dispatchQueued(time.Now())
+	c.QueryLoad(ctx, tried)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.dispatchQueued(time.Now())
 }
 
-// leave removes the call from the queue. It returns false if the call has already
+// removeQueued removes the call from the queue. It returns false if the call has already
 // been removed.
-func (l *Lane) leave(id uint64) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.queue.Leave(id) {
+func (c *Controller) removeQueued(id uint64) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.queue.Remove(id) {
 		return false
 	}
-	delete(l.waiting, id)
+	delete(c.waiting, id)
 	return true
 }
 
 // overloaded returns the refusal of a call whose wait expired.
-func (l *Lane) overloaded() *refusal.Refusal {
-	return &refusal.Refusal{Code: code.CallOverloaded, Outcome: mustardsaddle.NotRun, RetryAfter: l.RetryAfter()}
+func (c *Controller) overloaded() *refusal.Refusal {
+	return &refusal.Refusal{Code: code.CallOverloaded, Outcome: mustardsaddle.NotRun, RetryAfter: c.RetryAfter()}
 }
 
 // requirements returns the requirements of an attempt that excludes the servers already
 // tried.
-func (l *Lane) requirements(tried []string) mustardsaddle.Requirements {
-	return mustardsaddle.Requirements{Exclude: tried, Zone: l.lanes.cfg.Zone, Bytes: int(l.responseBytes)}
+func (c *Controller) requirements(tried []string) mustardsaddle.Requirements {
+	return mustardsaddle.Requirements{Exclude: tried, Zone: c.controllers.cfg.Zone, Bytes: int(c.responseBytes)}
 }
 
 // choose picks a server that is below its concurrency limit and counts the attempt
 // as in flight.
-func (l *Lane) choose(now time.Time, reqs mustardsaddle.Requirements) (mustardsaddle.Choice, bool) {
+func (c *Controller) choose(now time.Time, reqs mustardsaddle.Requirements) (mustardsaddle.Choice, bool) {
 	for {
-		choice, ok := l.chooser.Choose(now, l.rng, reqs)
-		if !ok || l.limits.Acquire(choice.Server.Name, l.limit(choice.Server)) {
+		choice, ok := c.chooser.Choose(now, c.rng, reqs)
+		if !ok || c.limits.Acquire(choice.Server.Name, c.limit(choice.Server)) {
 			return choice, ok
 		}
-		l.chooser.Finish(now, mustardsaddle.Result{Server: choice.Server.Name, Outcome: mustardsaddle.NotRun, Canceled: true})
+		c.chooser.Finish(now, mustardsaddle.Result{Server: choice.Server.Name, Outcome: mustardsaddle.NotRun, Canceled: true})
 		reqs.Exclude = append(slices.Clip(reqs.Exclude), choice.Server.Name)
 	}
 }
@@ -280,163 +280,163 @@
 // to a server: its share of the server's connections less the idle ones that the
 // connection pool may keep. The connection count set in the rules for the service
 // takes precedence over the server's own. If neither is set, there is no limit.
-func (l *Lane) limit(s mustardsaddle.Server) int {
+func (c *Controller) limit(s mustardsaddle.Server) int {
 	connections := s.Connections
-	if table := l.lanes.cfg.Rules(); table != nil {
-		connections = cmp.Or(table.Service(l.Service).Connections, connections)
+	if table := c.controllers.cfg.Rules(); table != nil {
+		connections = cmp.Or(table.Service(c.Service).Connections, connections)
 	}
 	if connections == 0 {
 		return math.MaxInt
 	}
-	return max(slot.Connections(connections, int(l.lanes.gateways.Load()))-connection.IdlePerHost, 1)
+	return max(slot.Connections(connections, int(c.controllers.gateways.Load()))-connection.IdlePerHost, 1)
 }
 
 // dispatchQueued expires queued calls whose wait is over, then assigns servers to the
 // remaining ones in order while servers have capacity. The caller holds mu.
-func (l *Lane) dispatchQueued(now time.Time) {
-	for _, id := range l.queue.Expired(now) {
-		close(l.waiting[id].assigned)
-		delete(l.waiting, id)
+func (c *Controller) dispatchQueued(now time.Time) {
+	for _, id := range c.queue.RemoveExpired(now) {
+		close(c.waiting[id].assigned)
+		delete(c.waiting, id)
 	}
 	for {
-		id, ok := l.queue.First(now)
+		id, ok := c.queue.Next(now)
 		if !ok {
 			return
 		}
-		queued := l.waiting[id]
-		choice, ok := l.choose(now, l.requirements(queued.tried))
+		queued := c.waiting[id]
+		choice, ok := c.choose(now, c.requirements(queued.tried))
 		if !ok {
 			return
 		}
-		l.queue.Leave(id)
+		c.queue.Remove(id)
 		queued.assigned <- choice
-		delete(l.waiting, id)
+		delete(c.waiting, id)
 	}
 }
 
-// Answered records the time from sending a request to receiving its response header.
-func (l *Lane) Answered(latency time.Duration) {
-	l.Metrics.Header.RecordDuration(latency)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.latency.Add(latency)
+// RecordLatency records the time from sending a request to receiving its response header.
+func (c *Controller) RecordLatency(latency time.Duration) {
+	c.Metrics.Header.RecordDuration(latency)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.latency.Add(latency)
 }
 
-// Relayed records the size of a response.
-func (l *Lane) Relayed(bytes int64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.responseBytes += (float64(bytes) - l.responseBytes) * responseSizeWeight
+// RecordResponseSize records the size of a response.
+func (c *Controller) RecordResponseSize(bytes int64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.responseBytes += (float64(bytes) - c.responseBytes) * responseSizeWeight
 }
 
-// Alive reports whether a connection to the server became idle within
+// RecentlyIdle reports whether a connection to the server became idle within
 // connection.AliveWindow, and so is likely to be still open.
-func (l *Lane) Alive(now time.Time, server string) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return now.Sub(l.idleAt[server]) < connection.AliveWindow
+func (c *Controller) RecentlyIdle(now time.Time, server string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return now.Sub(c.idleAt[server]) < connection.AliveWindow
 }
 
 // Finish records the result of an attempt, releases its slot and assigns servers to
 // queued calls. Kept is true if the connection returned to the pool.
-func (l *Lane) Finish(now time.Time, result mustardsaddle.Result, kept bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *Controller) Finish(now time.Time, result mustardsaddle.Result, kept bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if kept {
-		l.idleAt[result.Server] = now
+		c.idleAt[result.Server] = now
 	}
-	l.chooser.Finish(now, result)
-	l.logExclusions()
-	l.limits.Release(result.Server)
+	c.chooser.Finish(now, result)
+	c.logExclusions()
+	c.limits.Release(result.Server)
 	latency := result.Latency
 	if result.Outcome != mustardsaddle.Ran {
 		latency = 0
 	}
-	l.queue.Released(now, latency)
-	l.dispatchQueued(now)
+	c.queue.RecordRelease(now, latency)
+	c.dispatchQueued(now)
 }
 
 // observe processes a load report, after which queued calls may find a server with
 // capacity.
-func (l *Lane) observe(now time.Time, server string, rep mustardsaddle.Report) {
-	l.mu.Lock()
-	l.chooser.Observe(now, server, rep)
-	l.dispatchQueued(now)
-	l.mu.Unlock()
-	if l.lanes.cfg.OnReport != nil {
-		l.lanes.cfg.OnReport(now, l.Service, server, rep)
+func (c *Controller) observe(now time.Time, server string, rep mustardsaddle.Report) {
+	c.mu.Lock()
+	c.chooser.Observe(now, server, rep)
+	c.dispatchQueued(now)
+	c.mu.Unlock()
+	if c.controllers.cfg.OnReport != nil {
+		c.controllers.cfg.OnReport(now, c.Service, server, rep)
 	}
 }
 
 // ObserveHeader processes the load report in a response header, if there is one.
-func (l *Lane) ObserveHeader(now time.Time, server string, h http.Header) {
-	names := l.lanes.cfg.Headers
+func (c *Controller) ObserveHeader(now time.Time, server string, h http.Header) {
+	names := c.controllers.cfg.Headers
 	text := h.Get(names.Load)
 	if text == "" {
 		return
 	}
 	rep, err := names.ParseLoad(now, text)
 	if err != nil {
-		l.Metrics.BadReports.Inc(1)
+		c.Metrics.BadReports.Inc(1)
 		return
 	}
-	l.observe(now, server, rep)
+	c.observe(now, server, rep)
 }
 
 // HedgeDelay returns how long to wait for a response before sending a hedge. It
 // returns false if hedging is disabled or no second server is available.
-func (l *Lane) HedgeDelay() (time.Duration, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delay, known := l.latency.Value()
+func (c *Controller) HedgeDelay() (time.Duration, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delay, known := c.latency.Value()
 	if !known {
 		delay = initialHedgeDelay
 	}
-	return max(delay, l.lanes.cfg.MinHedge), l.usable > 1 && l.lanes.cfg.HedgeShare > 0
+	return max(delay, c.controllers.cfg.MinHedge), c.usable > 1 && c.controllers.cfg.HedgeShare > 0
 }
 
 // RetryAfter returns the delay after which a refused caller should retry.
-func (l *Lane) RetryAfter() time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.queue.RetryAfter()
+func (c *Controller) RetryAfter() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.queue.RetryAfter()
 }
 
 // TakeRetry takes one retry from the budget for a request that is not an attempt of
 // a call, and reports whether the budget allowed it.
-func (l *Lane) TakeRetry(now time.Time) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.budgets.TakeRetry(now)
+func (c *Controller) TakeRetry(now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.budgets.TakeRetry(now)
 }
 
 // probe returns the server that the chooser wants probed next, if any.
-func (l *Lane) probe(now time.Time) (mustardsaddle.Server, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.chooser.Probe(now, l.rng)
+func (c *Controller) probe(now time.Time) (mustardsaddle.Server, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.chooser.Probe(now, c.rng)
 }
 
-// TakeOther picks a server other than the named one, or the named one if no other
+// ChooseOther picks a server other than the named one, or the named one if no other
 // has capacity.
-func (l *Lane) TakeOther(now time.Time, server string) (mustardsaddle.Choice, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if choice, ok := l.choose(now, l.requirements([]string{server})); ok {
+func (c *Controller) ChooseOther(now time.Time, server string) (mustardsaddle.Choice, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if choice, ok := c.choose(now, c.requirements([]string{server})); ok {
 		return choice, true
 	}
-	return l.choose(now, l.requirements(nil))
+	return c.choose(now, c.requirements(nil))
 }
 
 // logExclusions logs each server that the chooser has excluded since the last call. The
 // caller holds mu.
-func (l *Lane) logExclusions() {
-	querier, ok := l.chooser.(mustardsaddle.LoadQuerier)
+func (c *Controller) logExclusions() {
+	querier, ok := c.chooser.(mustardsaddle.LoadQuerier)
 	if !ok {
 		return
 	}
 	for _, e := range querier.Exclusions() {
-		event.Info(l.lanes.cfg.Logger, event.ServerOut).Str("Service", l.Service).Str("Server", e.Server).
+		event.Info(c.controllers.cfg.Logger, event.ServerOut).Str("Service", c.Service).Str("Server", e.Server).
 			Str("Reason", e.Reason).Dur("For", e.Duration).Float64("Failures", e.FailureRate).Send()
 	}
 }
--- a/internal/request/admission/lanes.go
+++ b/internal/request/admission/lanes.go
@@ -1,25 +1,25 @@
 // Package admission implements admission control and server selection. It queries
 // servers for their load, chooses a server for each attempt, queues calls while no
 // server has capacity, and refuses calls that could not be served in time. Each
-// service has its own Lane.
+// service has its own Controller.
 //
 // The choosers under internal/choice and the packages slot and booking make the
-// decisions without performing I/O. A Lane guards them with one mutex and performs
-// the I/O.
+// decisions without performing I/O. A Controller guards them with one mutex and
+// performs the I/O.
 //
 // # Usage
 //
-//	lanes := admission.NewLanes(admission.Config{Zone: "zone-a", Rules: rules})
-//	lanes.SetFleet(now, gateways)
-//	lanes.SetServers(now, "Booking", servers)
-//	l := lanes.Lane("Booking")
-//	unqueried := l.Ask(ctx, nil)
-//	p, refused := l.Place(ctx, now, request, unqueried)
+//	controllers := admission.NewControllers(admission.Config{Zone: "zone-a", Rules: rules})
+//	controllers.SetFleet(now, gateways)
+//	controllers.SetServers(now, "Booking", servers)
+//	c := controllers.Get("Booking")
+//	unqueried := c.QueryLoad(ctx, nil)
+//	a, refused := c.Admit(ctx, now, request, unqueried)
 //	if refused != nil {
 //		... // refuse the call
 //	}
-//	... // send the request to p.Choice.Server
-//	l.Finish(now, mustardsaddle.Result{Server: p.Choice.Server.Name}, true)
+//	... // send the request to a.Choice.Server
+//	c.Finish(now, mustardsaddle.Result{Server: a.Choice.Server.Name}, true)
 package admission
 
 import (
@@ -37,7 +37,7 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/booking"
 )
 
-// Config configures Lanes.
+// Config configures Controllers.
 type Config struct {
 	Options
 	// Name is this gateway's name.
@@ -59,105 +59,105 @@
 	Seed uint64
 }
 
-// Lanes holds the Lane of each service. It is safe for concurrent use.
-type Lanes struct {
+// Controllers holds the Controller of each service. It is safe for concurrent use.
+type Controllers struct {
 	cfg Config
 	// gateways is the fleet size, or 0 if unknown.
 	gateways atomic.Int64
 	// retry holds the retry bounds of the whole fleet.
 	retry atomic.Pointer[booking.Bounds]
 
-	mu    sync.RWMutex
-	lanes map[string]*Lane
+	mu          sync.RWMutex
+	controllers map[string]*Controller
 	// fleet lists the gateway VMs that are not leaving.
 	fleet []mustardsaddle.VM
 }
 
-// NewLanes returns Lanes without services.
-func NewLanes(cfg Config) *Lanes {
+// NewControllers returns Controllers without services.
+func NewControllers(cfg Config) *Controllers {
 	cfg.Options = cfg.withDefaults()
-	s := &Lanes{cfg: cfg, lanes: make(map[string]*Lane)}
-	s.retry.Store(&booking.Bounds{Share: max(cfg.RetryShare, 0), Slack: cfg.RetrySlack})
-	return s
+	cs := &Controllers{cfg: cfg, controllers: make(map[string]*Controller)}
+	cs.retry.Store(&booking.Bounds{Share: max(cfg.RetryShare, 0), Slack: cfg.RetrySlack})
+	return cs
 }
 
-// Lane returns the Lane of a service, or nil before the first SetServers for it.
-func (s *Lanes) Lane(service string) *Lane {
-	s.mu.RLock()
-	defer s.mu.RUnlock()
-	return s.lanes[service]
+// Get returns the Controller of a service, or nil before the first SetServers for it.
+func (cs *Controllers) Get(service string) *Controller {
+	cs.mu.RLock()
+	defer cs.mu.RUnlock()
+	return cs.controllers[service]
 }
 
-// all returns the Lane of every service.
-func (s *Lanes) all() []*Lane {
-	s.mu.RLock()
-	defer s.mu.RUnlock()
-	lanes := make([]*Lane, 0, len(s.lanes))
-	for _, l := range s.lanes {
-		lanes = append(lanes, l)
+// all returns the Controller of every service.
+func (cs *Controllers) all() []*Controller {
+	cs.mu.RLock()
+	defer cs.mu.RUnlock()
+	controllers := make([]*Controller, 0, len(cs.controllers))
+	for _, c := range cs.controllers {
+		controllers = append(controllers, c)
 	}
-	return lanes
+	return controllers
 }
 
 // SetServers replaces the server list of a service.
-func (s *Lanes) SetServers(now time.Time, service string, servers []mustardsaddle.Server) {
-	s.mu.Lock()
-	l := s.lanes[service]
-	added := l == nil
+func (cs *Controllers) SetServers(now time.Time, service string, servers []mustardsaddle.Server) {
+	cs.mu.Lock()
+	c := cs.controllers[service]
+	added := c == nil
 	if added {
-		l = newLane(s, service)
-		s.lanes[service] = l
+		c = newController(cs, service)
+		cs.controllers[service] = c
 	}
-	fleet := s.fleet
-	s.mu.Unlock()
+	fleet := cs.fleet
+	cs.mu.Unlock()
 	if added {
-		l.setFleet(now, fleet)
+		c.setFleet(now, fleet)
 	}
-	l.setServers(now, servers)
+	c.setServers(now, servers)
 }
 
 // SetFleet sets the gateway VMs of the fleet, including this one. Every gateway counts
 // towards the sharing of server connections, because a leaving gateway keeps its
 // connections until its last call has finished. Choosers that divide the servers among
 // gateways get only those that are not leaving.
-func (s *Lanes) SetFleet(now time.Time, gateways []mustardsaddle.VM) {
-	s.gateways.Store(int64(len(gateways)))
+func (cs *Controllers) SetFleet(now time.Time, gateways []mustardsaddle.VM) {
+	cs.gateways.Store(int64(len(gateways)))
 	live := slices.DeleteFunc(slices.Clone(gateways), func(v mustardsaddle.VM) bool { return v.Leaving })
-	s.mu.Lock()
-	same := slices.EqualFunc(s.fleet, live, func(a, b mustardsaddle.VM) bool { return a.Name == b.Name })
-	s.fleet = live
-	s.mu.Unlock()
-	for _, l := range s.all() {
-		l.updateLimits(now)
+	cs.mu.Lock()
+	same := slices.EqualFunc(cs.fleet, live, func(a, b mustardsaddle.VM) bool { return a.Name == b.Name })
+	cs.fleet = live
+	cs.mu.Unlock()
+	for _, c := range cs.all() {
+		c.updateLimits(now)
 		if !same {
-			l.setFleet(now, live)
+			c.setFleet(now, live)
 		}
 	}
 }
 
 // SetRetry changes the bounds of retries and hedges in a window: the share earned by
 // each call and the slack of the whole fleet.
-func (s *Lanes) SetRetry(now time.Time, bounds booking.Bounds) {
-	s.retry.Store(&bounds)
-	for _, l := range s.all() {
-		l.updateLimits(now)
+func (cs *Controllers) SetRetry(now time.Time, bounds booking.Bounds) {
+	cs.retry.Store(&bounds)
+	for _, c := range cs.all() {
+		c.updateLimits(now)
 	}
 }
 
 // setFleet passes the live gateways to a chooser that divides the servers among them.
-func (l *Lane) setFleet(now time.Time, live []mustardsaddle.VM) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if c, ok := l.chooser.(mustardsaddle.FleetSetter); ok && len(live) > 0 {
-		c.SetFleet(now, l.lanes.cfg.Name, live)
+func (c *Controller) setFleet(now time.Time, live []mustardsaddle.VM) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if setter, ok := c.chooser.(mustardsaddle.FleetSetter); ok && len(live) > 0 {
+		setter.SetFleet(now, c.controllers.cfg.Name, live)
 	}
 }
 
 // updateLimits recomputes the limits that depend on the retry bounds or the fleet
 // size.
-func (l *Lane) updateLimits(now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.updateRetryBounds()
-	l.updateQueryRate(now)
+func (c *Controller) updateLimits(now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.updateRetryBounds()
+	c.updateQueryRate(now)
 }
--- a/internal/request/admission/metrics.go
+++ b/internal/request/admission/metrics.go
@@ -21,15 +21,16 @@
 	Attempts tally.Counter
 	Retries  tally.Counter
 	Hedges   tally.Counter
-	// Silent counts attempts on reused connections that returned nothing, Resumed counts
-	// downloads resumed from another server, and Cut counts truncated responses.
-	Silent  tally.Counter
-	Resumed tally.Counter
-	Cut     tally.Counter
+	// NoResponse counts attempts on reused connections that returned nothing, Resumed
+	// counts downloads resumed from another server, and Truncated counts truncated
+	// responses.
+	NoResponse tally.Counter
+	Resumed    tally.Counter
+	Truncated  tally.Counter
 	// BadReports counts load reports that could not be parsed.
 	BadReports tally.Counter
-	// Questions counts load queries sent before an attempt.
-	Questions tally.Counter
+	// LoadQueries counts load queries sent before an attempt.
+	LoadQueries tally.Counter
 	// Queued measures the time that calls spend in the queue, and Header the time to
 	// the response header.
 	Queued tally.Histogram
@@ -40,16 +41,16 @@
 	s := scope.Tagged(map[string]string{"Service": service})
 	times := tally.MustMakeExponentialDurationBuckets(firstBucket, 2, buckets)
 	m := &Metrics{
-		Attempts:   s.Counter("Attempts"),
-		Retries:    s.Counter("Retries"),
-		Hedges:     s.Counter("Hedges"),
-		Silent:     s.Counter("SilentConnections"),
-		Resumed:    s.Counter("ResumedDownloads"),
-		Cut:        s.Counter("CutAnswers"),
-		BadReports: s.Counter("BadReports"),
-		Questions:  s.Counter("Questions"),
-		Queued:     s.Histogram("QueueTime", times),
-		Header:     s.Histogram("HeaderTime", times),
+		Attempts:    s.Counter("Attempts"),
+		Retries:     s.Counter("Retries"),
+		Hedges:      s.Counter("Hedges"),
+		NoResponse:  s.Counter("SilentConnections"),
+		Resumed:     s.Counter("ResumedDownloads"),
+		Truncated:   s.Counter("CutAnswers"),
+		BadReports:  s.Counter("BadReports"),
+		LoadQueries: s.Counter("Questions"),
+		Queued:      s.Histogram("QueueTime", times),
+		Header:      s.Histogram("HeaderTime", times),
 	}
 	for _, o := range []mustardsaddle.Outcome{mustardsaddle.Unknown, mustardsaddle.NotRun, mustardsaddle.Ran} {
 		m.Outcomes[o] = s.Tagged(map[string]string{"Outcome": o.String()}).Counter("Calls")
--- a/internal/request/admission/options.go
+++ b/internal/request/admission/options.go
@@ -10,29 +10,29 @@
 
 // Default values of Options.
 const (
-	defaultMaxWaiting = 1024
-	defaultRetryShare = 0.2
-	defaultHedgeShare = 0.05
-	defaultQuantile   = 0.95
-	defaultMinHedge   = 5 * time.Millisecond
-	defaultAsk        = 8
-	defaultLoadPath   = "/load"
+	defaultMaxQueued      = 1024
+	defaultRetryShare     = 0.2
+	defaultHedgeShare     = 0.05
+	defaultQuantile       = 0.95
+	defaultMinHedge       = 5 * time.Millisecond
+	defaultMaxLoadQueries = 8
+	defaultLoadPath       = "/load"
 )
 
 // Budget limits the traffic spent on probes and load queries.
 type Budget interface {
-	// Take spends messages and bytes. If the budget is too low, it returns false and
-	// spends nothing.
-	Take(now time.Time, messages, bytes int) bool
+	// Allow consumes budget for messages and bytes. If the budget is too low, it returns
+	// false and consumes nothing.
+	Allow(now time.Time, messages, bytes int) bool
 }
 
 // Options configure admission and server selection. A zero limit means its default.
 type Options struct {
 	// Zone is this gateway's availability zone.
 	Zone string
-	// MaxWaiting is the maximum queue length of a service. A negative value disables
+	// MaxQueued is the maximum queue length of a service. A negative value disables
 	// queueing.
-	MaxWaiting int
+	MaxQueued int
 	// RetryShare is the number of retries earned by each call. A negative value
 	// disables retries.
 	RetryShare float64
@@ -50,15 +50,15 @@
 	HedgeQuantile float64
 	// MinHedge is the minimum hedge delay.
 	MinHedge time.Duration
-	// Ask is the maximum number of servers queried for their load before an attempt,
-	// if the chooser is a LoadQuerier.
-	Ask int
+	// MaxLoadQueries is the maximum number of servers queried for their load before an
+	// attempt, if the chooser is a LoadQuerier.
+	MaxLoadQueries int
 	// ProbePath is the URL path of load reports for services whose rule sets none; empty
 	// means /load.
 	ProbePath string
-	// ServerPerSecond limits the load queries per second that one server receives from
-	// the whole fleet.
-	ServerPerSecond float64
+	// LoadQueriesPerServer limits the load queries per second that one server receives
+	// from the whole fleet.
+	LoadQueriesPerServer float64
 	// Budget limits load queries; nil disables them.
 	Budget Budget
 	// NewChooser returns the chooser of a service; nil means one of package bench.
@@ -69,12 +69,12 @@
 
 // withDefaults returns a copy of o with zero values replaced by defaults.
 func (o Options) withDefaults() Options {
-	o.MaxWaiting = cmp.Or(o.MaxWaiting, defaultMaxWaiting)
+	o.MaxQueued = cmp.Or(o.MaxQueued, defaultMaxQueued)
 	o.RetryShare = cmp.Or(o.RetryShare, defaultRetryShare)
 	o.HedgeShare = cmp.Or(o.HedgeShare, defaultHedgeShare)
 	o.HedgeQuantile = cmp.Or(o.HedgeQuantile, defaultQuantile)
 	o.MinHedge = cmp.Or(o.MinHedge, defaultMinHedge)
-	o.Ask = cmp.Or(o.Ask, defaultAsk)
+	o.MaxLoadQueries = cmp.Or(o.MaxLoadQueries, defaultMaxLoadQueries)
 	o.ProbePath = cmp.Or(o.ProbePath, defaultLoadPath)
 	if o.NewChooser == nil {
 		o.NewChooser = func(string) mustardsaddle.Chooser { return bench.New(bench.Config{}) }
--- a/internal/request/admission/prober.go
+++ b/internal/request/admission/prober.go
@@ -24,8 +24,8 @@
 
 // ProberConfig configures a Prober. A zero duration means its default.
 type ProberConfig struct {
-	// Lanes holds the services whose servers are probed.
-	Lanes *Lanes
+	// Controllers holds the services whose servers are probed.
+	Controllers *Controllers
 	// Budget limits the probes.
 	Budget Budget
 	// Interval is the time between rounds. Each round sends at most one probe per
@@ -77,36 +77,36 @@
 // startRound starts one probe per service while the budget lasts. It does not wait for
 // responses, so an unresponsive server does not delay the probes of others.
 func (p *Prober) startRound(ctx context.Context, ended chan<- struct{}) {
-	for _, l := range p.cfg.Lanes.all() {
+	for _, c := range p.cfg.Controllers.all() {
 		now := time.Now()
-		p.reserved = p.reserved || p.cfg.Budget.Take(now, 1, probeRequestBytes+probeResponseBytes)
+		p.reserved = p.reserved || p.cfg.Budget.Allow(now, 1, probeRequestBytes+probeResponseBytes)
 		if !p.reserved || p.inFlight >= maxProbesInFlight {
 			return
 		}
-		server, ok := l.probe(now)
+		server, ok := c.probe(now)
 		if !ok {
 			continue
 		}
 		p.reserved = false
 		p.inFlight++
 		go func() {
-			p.probe(ctx, l, server)
+			p.probe(ctx, c, server)
 			ended <- struct{}{}
 		}()
 	}
 }
 
 // probe requests a load report from one server.
-func (p *Prober) probe(ctx context.Context, l *Lane, server mustardsaddle.Server) {
+func (p *Prober) probe(ctx context.Context, c *Controller, server mustardsaddle.Server) {
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.Timeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+server.Address+p.cfg.Lanes.cfg.ProbePath, http.NoBody)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+server.Address+p.cfg.Controllers.cfg.ProbePath, http.NoBody)
 	if err != nil {
 		return
 	}
-	h, err := fetchHeader(p.cfg.Lanes.cfg.Transport, r)
+	h, err := fetchHeader(p.cfg.Controllers.cfg.Transport, r)
 	if err != nil {
 		return
 	}
-	l.ObserveHeader(time.Now(), server.Name, h)
+	c.ObserveHeader(time.Now(), server.Name, h)
 }
--- a/internal/request/admission/question.go
+++ b/internal/request/admission/question.go
@@ -17,42 +17,42 @@
 
 // updateQueryRate updates the rate limit of load queries to this gateway's share of what
 // the servers of the service may receive. The caller holds mu.
-func (l *Lane) updateQueryRate(now time.Time) {
-	gateways := cmp.Or(l.lanes.gateways.Load(), defaultFleetSize)
-	l.queryLimit.SetRate(now, survey.GatewayQueryRate(l.lanes.cfg.ServerPerSecond, l.usable, int(gateways)))
+func (c *Controller) updateQueryRate(now time.Time) {
+	gateways := cmp.Or(c.controllers.gateways.Load(), defaultFleetSize)
+	c.queryLimit.SetRate(now, survey.GatewayQueryRate(c.controllers.cfg.LoadQueriesPerServer, c.usable, int(gateways)))
 }
 
-// Ask queries a few servers for their load if the chooser is a LoadQuerier, and waits up
-// to survey.QueryWait for the responses. It returns true if the budgets allowed
+// QueryLoad queries a few servers for their load if the chooser is a LoadQuerier, and
+// waits up to survey.QueryWait for the responses. It returns true if the budgets allowed
 // no query, so that the choice has to rely on older reports or none.
-func (l *Lane) Ask(ctx context.Context, tried []string) (unqueried bool) {
-	querier, ok := l.chooser.(mustardsaddle.LoadQuerier)
-	if !ok || l.lanes.cfg.Budget == nil {
+func (c *Controller) QueryLoad(ctx context.Context, tried []string) (unqueried bool) {
+	querier, ok := c.chooser.(mustardsaddle.LoadQuerier)
+	if !ok || c.controllers.cfg.Budget == nil {
 		return false
 	}
 	now := time.Now()
-	l.mu.Lock()
-	servers := querier.SelectQueries(now, l.rng, l.requirements(tried), l.queryLimit.CallLimit(now))
+	c.mu.Lock()
+	servers := querier.SelectQueries(now, c.rng, c.requirements(tried), c.queryLimit.CallLimit(now))
 	for i := range servers {
-		if !l.queryLimit.Allow(now) || !l.lanes.cfg.Budget.Take(now, 1, probeRequestBytes+probeResponseBytes) {
+		if !c.queryLimit.Allow(now) || !c.controllers.cfg.Budget.Allow(now, 1, probeRequestBytes+probeResponseBytes) {
 			querier.CancelQueries(servers[i:])
 			servers = servers[:i]
 			unqueried = i == 0
 			break
 		}
 	}
-	l.mu.Unlock()
+	c.mu.Unlock()
 	if len(servers) > 0 {
-		l.queryServers(ctx, servers)
+		c.queryServers(ctx, servers)
 	}
 	return unqueried
 }
 
 // queryServers queries servers concurrently. It returns when all have responded or after
 // survey.QueryWait. Later responses are still processed.
-func (l *Lane) queryServers(ctx context.Context, servers []mustardsaddle.Server) {
-	l.Metrics.Questions.Inc(int64(len(servers)))
-	path := l.lanes.probePath(l.Service)
+func (c *Controller) queryServers(ctx context.Context, servers []mustardsaddle.Server) {
+	c.Metrics.LoadQueries.Inc(int64(len(servers)))
+	path := c.controllers.probePath(c.Service)
 	done := make(chan struct{}, len(servers))
 	for _, server := range servers {
 		go func() {
@@ -60,7 +60,7 @@
 			// the query.
 			queryCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), queryTimeout)
 			defer cancel()
-			l.queryServer(queryCtx, server, path)
+			c.queryServer(queryCtx, server, path)
 			done <- struct{}{}
 		}()
 	}
@@ -76,36 +76,36 @@
 }
 
 // queryServer queries one server and processes its response.
-func (l *Lane) queryServer(ctx context.Context, server mustardsaddle.Server, path string) {
-	h, reply := l.lanes.sendQuery(ctx, server, path)
+func (c *Controller) queryServer(ctx context.Context, server mustardsaddle.Server, path string) {
+	h, reply := c.controllers.sendQuery(ctx, server, path)
 	now := time.Now()
-	l.mu.Lock()
-	if querier, ok := l.chooser.(mustardsaddle.LoadQuerier); ok {
+	c.mu.Lock()
+	if querier, ok := c.chooser.(mustardsaddle.LoadQuerier); ok {
 		querier.RecordQuery(now, server.Name, reply)
 	}
 	if reply == mustardsaddle.OwnReply {
-		l.idleAt[server.Name] = now
+		c.idleAt[server.Name] = now
 	}
-	l.logExclusions()
-	l.mu.Unlock()
+	c.logExclusions()
+	c.mu.Unlock()
 	if reply == mustardsaddle.OwnReply {
-		l.ObserveHeader(now, server.Name, h)
+		c.ObserveHeader(now, server.Name, h)
 	}
 }
 
 // sendQuery sends a load query and returns the response header. The reply is
 // OtherReply if the response names a different server.
-func (s *Lanes) sendQuery(ctx context.Context, server mustardsaddle.Server, path string) (http.Header, mustardsaddle.Reply) {
+func (cs *Controllers) sendQuery(ctx context.Context, server mustardsaddle.Server, path string) (http.Header, mustardsaddle.Reply) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+server.Address+path, http.NoBody)
 	if err != nil {
 		return nil, mustardsaddle.NoReply
 	}
 	r.Header["User-Agent"] = nil
-	h, err := fetchHeader(s.cfg.Transport, r)
+	h, err := fetchHeader(cs.cfg.Transport, r)
 	if err != nil {
 		return nil, mustardsaddle.NoReply
 	}
-	if name := s.cfg.Headers.Server; name != "" {
+	if name := cs.cfg.Headers.Server; name != "" {
 		if reported := h.Get(name); reported != "" && reported != server.Name {
 			return nil, mustardsaddle.OtherReply
 		}
@@ -127,11 +127,11 @@
 }
 
 // probePath returns the URL path of load reports for a service.
-func (s *Lanes) probePath(service string) string {
-	if table := s.cfg.Rules(); table != nil {
+func (cs *Controllers) probePath(service string) string {
+	if table := cs.cfg.Rules(); table != nil {
 		if path := table.Service(service).Probe; path != "" {
 			return path
 		}
 	}
-	return s.cfg.ProbePath
+	return cs.cfg.ProbePath
 }
--- a/internal/request/booking/booking.go
+++ b/internal/request/booking/booking.go
@@ -55,12 +55,12 @@
 
 // Call tracks the attempts of one call. It is not safe for concurrent use.
 type Call struct {
-	cfg       Config
-	begun     int
-	inFlight  int
-	notRun    int
-	ran       bool
-	bodySpent bool
+	cfg          Config
+	begun        int
+	inFlight     int
+	notRun       int
+	ran          bool
+	bodyConsumed bool
 }
 
 // New returns a call without attempts.
@@ -92,10 +92,10 @@
 	}
 }
 
-// SpendBody records that part of the request body has been consumed and is not
+// MarkBodyConsumed records that part of the request body has been consumed and is not
 // buffered, so that no later attempt can send the whole request.
-func (c *Call) SpendBody() {
-	c.bodySpent = true
+func (c *Call) MarkBodyConsumed() {
+	c.bodyConsumed = true
 }
 
 // Outcome returns what is known about the execution of the call, counting an attempt
@@ -131,7 +131,7 @@
 	if c.ran || !now.Before(c.cfg.Deadline) || c.begun >= max(c.cfg.MaxAttempts, 1) {
 		return false
 	}
-	if c.bodySpent && c.begun > 0 {
+	if c.bodyConsumed && c.begun > 0 {
 		return false
 	}
 	if c.cfg.Repeat == mustardsaddle.RepeatYes {
--- a/internal/request/booking/booking_test.go
+++ b/internal/request/booking/booking_test.go
@@ -48,8 +48,8 @@
 		m.ran = m.ran || outcome == mustardsaddle.Ran
 		return
 	}
-	if rapid.IntRange(0, 9).Draw(t, "Spend") == 0 {
-		call.SpendBody()
+	if rapid.IntRange(0, 9).Draw(t, "Consume") == 0 {
+		call.MarkBodyConsumed()
 	}
 	_, ok := call.Begin(now, b)
 	if ok && (m.ran || !now.Before(deadline)) {
--- a/internal/request/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -27,12 +27,12 @@
 
 // attempt sends a call's request to one server, and holds the result.
 type attempt struct {
-	c         *call
-	id        string
-	placement admission.Placement
-	ctx       context.Context
-	cancel    context.CancelCauseFunc
-	policy    connectionPolicy
+	c          *call
+	id         string
+	assignment admission.Assignment
+	ctx        context.Context
+	cancel     context.CancelCauseFunc
+	policy     connectionPolicy
 
 	body         io.Closer
 	conn         *connection.CountedConn
@@ -51,8 +51,8 @@
 }
 
 // newAttempt prepares an attempt and logs the routing decision.
-func (c *call) newAttempt(p admission.Placement, policy connectionPolicy) *attempt {
-	a := &attempt{c: c, id: c.g.nextAttempt(), placement: p, policy: policy}
+func (c *call) newAttempt(assignment admission.Assignment, policy connectionPolicy) *attempt {
+	a := &attempt{c: c, id: c.g.nextAttempt(), assignment: assignment, policy: policy}
 	a.ctx, a.cancel = context.WithCancelCause(c.r.Context())
 	c.logRoute(a)
 	return a
@@ -69,7 +69,7 @@
 		a.roundTrip(setHeaders)
 	}
 	a.latency = time.Since(a.sentAt)
-	a.c.match.lane.Metrics.Attempts.Inc(1)
+	a.c.match.controller.Metrics.Attempts.Inc(1)
 	a.classify()
 }
 
@@ -96,7 +96,7 @@
 		Got1xxResponse: a.informational(),
 	}))
 	url := *c.r.URL
-	url.Scheme, url.Host = "http", a.placement.Choice.Server.Address
+	url.Scheme, url.Host = "http", a.assignment.Choice.Server.Address
 	out.URL = &url
 	out.Host = c.r.Host
 	out.RequestURI = ""
@@ -109,7 +109,7 @@
 		fields.Set(names.Deadline, strconv.FormatInt(left, 10))
 	}
 	if names.Instance != "" {
-		fields.Set(names.Instance, a.placement.Choice.Server.Name)
+		fields.Set(names.Instance, a.assignment.Choice.Server.Name)
 	}
 	out.Header = fields.Header
 	if c.body.empty {
@@ -143,7 +143,7 @@
 // informational returns the function that relays 1xx responses; only the first
 // attempt of a call has one.
 func (a *attempt) informational() func(int, textproto.MIMEHeader) error {
-	if a.placement.Kind != 0 {
+	if a.assignment.Kind != 0 {
 		return nil
 	}
 	return a.c.relayInformational
@@ -194,7 +194,7 @@
 	if name := a.c.g.cfg.Headers.NotRun; name != "" && h.Get(name) != "" {
 		return true
 	}
-	declared := a.c.g.cfg.Services[a.c.match.lane.Service]
+	declared := a.c.g.cfg.Services[a.c.match.controller.Service]
 	return declared.NotRunStatus != 0 && a.resp.StatusCode == declared.NotRunStatus && h.Get(declared.NotRunHeader) != ""
 }
 
@@ -209,7 +209,7 @@
 	if a.resp == nil || a.mismatch || a.misdirected() {
 		return
 	}
-	a.c.match.lane.ObserveHeader(time.Now(), a.placement.Choice.Server.Name, a.resp.Header)
+	a.c.match.controller.ObserveHeader(time.Now(), a.assignment.Choice.Server.Name, a.resp.Header)
 }
 
 // silent reports whether a reused connection returned nothing while the caller was
@@ -229,15 +229,15 @@
 	}
 	canceled := a.ctx.Err() != nil
 	a.cancel(errFinished)
-	l := a.c.match.lane
+	controller := a.c.match.controller
 	if a.silent() {
-		l.Metrics.Silent.Inc(1)
+		controller.Metrics.NoResponse.Inc(1)
 		event.Info(a.c.g.cfg.Logger, event.ConnectionSilent).Str("Attempt", a.id).
-			Str("Server", a.placement.Choice.Server.Name).Dur("Waited", a.latency).Send()
+			Str("Server", a.assignment.Choice.Server.Name).Dur("Waited", a.latency).Send()
 	}
 	timedOut := a.timedOut()
-	l.Finish(time.Now(), mustardsaddle.Result{
-		Server:       a.placement.Choice.Server.Name,
+	controller.Finish(time.Now(), mustardsaddle.Result{
+		Server:       a.assignment.Choice.Server.Name,
 		Outcome:      a.outcome,
 		Shed:         a.shed,
 		AddressTaken: a.resp != nil && a.misdirected(),
--- a/internal/request/gateway/body.go
+++ b/internal/request/gateway/body.go
@@ -36,14 +36,14 @@
 // buffer reads the body into memory if it is small enough to be replayed.
 func (b *requestBody) buffer() *refusal.Refusal {
 	r, cfg := b.c.r, b.c.g.cfg
-	b.remaining = cfg.BodyBytes
+	b.remaining = cfg.MaxBodyBytes
 	b.empty = r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0
-	if b.empty || r.ContentLength < 0 || r.ContentLength > cfg.ReplayBytes || r.Header["Expect"] != nil {
+	if b.empty || r.ContentLength < 0 || r.ContentLength > cfg.MaxReplayBytes || r.Header["Expect"] != nil {
 		return nil
 	}
 	buffered := make([]byte, r.ContentLength)
 	rc := http.NewResponseController(b.c.w)
-	_ = rc.SetReadDeadline(time.Now().Add(cfg.Progress))
+	_ = rc.SetReadDeadline(time.Now().Add(cfg.ProgressTimeout))
 	if _, err := io.ReadFull(r.Body, buffered); err != nil {
 		return refusal.NotRun(code.CallBadRequest)
 	}
--- a/internal/request/gateway/call.go
+++ b/internal/request/gateway/call.go
@@ -44,7 +44,7 @@
 func newCall(g *Gateway, now time.Time, w http.ResponseWriter, r *http.Request, m matchResult) *call {
 	c := &call{g: g, w: w, r: r, match: m, start: now, deadline: now.Add(m.deadline)}
 	c.body.c = c
-	c.request = admission.Request{Begin: c.beginAttempt, Ticket: c.queueTicket}
+	c.request = admission.Request{Begin: c.beginAttempt, Entry: c.queueEntry}
 	c.state = booking.New(booking.Config{Repeat: m.repeat, Deadline: c.deadline, MaxAttempts: m.attempts})
 	c.timer = time.AfterFunc(m.deadline, c.expire)
 	return c
@@ -65,15 +65,15 @@
 	}
 }
 
-// queueTicket returns the call's deadline, priority and latency target for the
+// queueEntry returns the call's deadline, priority and latency target for the
 // queue.
-func (c *call) queueTicket(id uint64) slot.Ticket {
-	t := slot.Ticket{ID: id, Deadline: c.deadline, Priority: c.match.rule.Priority}
+func (c *call) queueEntry(id uint64) slot.Entry {
+	e := slot.Entry{ID: id, Deadline: c.deadline, Priority: c.match.rule.Priority}
 	if target := c.match.rule.Target; target > 0 {
-		t.Target = c.start.Add(target)
-		t.Patience = target / slot.PatienceShare
+		e.Target = c.start.Add(target)
+		e.MaxWait = target / slot.MaxWaitDivisor
 	}
-	return t
+	return e
 }
 
 // track registers an attempt, so that it is canceled by the deadline or when
@@ -81,12 +81,12 @@
 func (c *call) track(a *attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a.placement.Kind == booking.Hedge {
+	if a.assignment.Kind == booking.Hedge {
 		c.hedge = a
 	} else {
 		c.primary, c.hedge = a, nil
 	}
-	c.tried = append(c.tried, a.placement.Choice.Server.Name)
+	c.tried = append(c.tried, a.assignment.Choice.Server.Name)
 	c.lastAttemptID = a.id
 	if c.expired {
 		a.cancel(errDeadline)
@@ -122,14 +122,14 @@
 func (c *call) runAttempts() (*attempt, *refusal.Refusal) {
 	var last *refusal.Refusal
 	for {
-		p, refused := c.admit()
+		assigned, refused := c.admit()
 		if refused != nil && last != nil {
 			return nil, c.finalRefusal(last)
 		}
 		if refused != nil {
 			return nil, c.finalRefusal(refused)
 		}
-		a := c.newAttempt(p, c.connectionPolicy(p))
+		a := c.newAttempt(assigned, c.connectionPolicy(assigned))
 		c.track(a)
 		a = c.sendHedged(a)
 		if a.outcome == mustardsaddle.Ran {
@@ -140,35 +140,35 @@
 }
 
 // admit obtains permission for one more attempt and a server to send it to.
-func (c *call) admit() (admission.Placement, *refusal.Refusal) {
-	unqueried := c.match.lane.Ask(c.r.Context(), c.triedServers())
-	p, refused := c.match.lane.Place(c.r.Context(), time.Now(), c.request, unqueried)
+func (c *call) admit() (admission.Assignment, *refusal.Refusal) {
+	unqueried := c.match.controller.QueryLoad(c.r.Context(), c.triedServers())
+	assigned, refused := c.match.controller.Admit(c.r.Context(), time.Now(), c.request, unqueried)
 	if refused != nil {
 		if refused.Code != code.OK {
 			c.endAttempt(mustardsaddle.NotRun)
 		}
-		return p, refused
+		return assigned, refused
 	}
-	if p.Queued > 0 {
-		c.match.lane.Metrics.Queued.RecordDuration(p.Queued)
+	if assigned.Queued > 0 {
+		c.match.controller.Metrics.Queued.RecordDuration(assigned.Queued)
 	}
-	switch p.Kind {
+	switch assigned.Kind {
 	case booking.Retry:
-		c.match.lane.Metrics.Retries.Inc(1)
+		c.match.controller.Metrics.Retries.Inc(1)
 	case booking.Hedge:
-		c.match.lane.Metrics.Hedges.Inc(1)
+		c.match.controller.Metrics.Hedges.Inc(1)
 	case booking.First:
 	}
-	return p, nil
+	return assigned, nil
 }
 
 // beginAttempt asks the call's state for one more attempt, and returns the servers
-// that were tried. The lane calls it while it holds its own mutex.
+// that were tried. The controller calls it while it holds its own mutex.
 func (c *call) beginAttempt(now time.Time, b *booking.Budgets) (booking.Kind, []string, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if consumed, _ := c.body.state(); consumed {
-		c.state.SpendBody()
+		c.state.MarkBodyConsumed()
 	}
 	kind, ok := c.state.Begin(now, b)
 	return kind, c.tried, ok && c.winner == nil
@@ -197,7 +197,7 @@
 	if refused.Code == code.OK {
 		refused = &refusal.Refusal{Code: code.CallDeadline}
 	}
-	return &refusal.Refusal{Code: refused.Code, Outcome: outcome, RetryAfter: max(refused.RetryAfter, c.match.lane.RetryAfter())}
+	return &refusal.Refusal{Code: refused.Code, Outcome: outcome, RetryAfter: max(refused.RetryAfter, c.match.controller.RetryAfter())}
 }
 
 // connectionPolicy returns which connections an attempt may use. An idempotent
@@ -206,7 +206,7 @@
 // Unknown as on a new one, and nothing is resent. POST, PUT and PATCH without a
 // body state "Content-Length: 0" and need a new connection, because NeverResend
 // hides that length.
-func (c *call) connectionPolicy(p admission.Placement) connectionPolicy {
+func (c *call) connectionPolicy(assigned admission.Assignment) connectionPolicy {
 	switch c.r.Method {
 	case http.MethodPost, http.MethodPut, http.MethodPatch:
 		if c.body.empty {
@@ -216,7 +216,7 @@
 	if c.match.repeat == mustardsaddle.RepeatYes {
 		return anyConnection
 	}
-	if c.body.streamed() || !c.match.lane.Alive(time.Now(), p.Choice.Server.Name) {
+	if c.body.streamed() || !c.match.controller.RecentlyIdle(time.Now(), assigned.Choice.Server.Name) {
 		return newConnection
 	}
 	return aliveConnection
@@ -248,18 +248,18 @@
 	if c.match.repeat != mustardsaddle.RepeatYes || c.body.streamed() {
 		return 0, false
 	}
-	return c.match.lane.HedgeDelay()
+	return c.match.controller.HedgeDelay()
 }
 
 // sendHedge sends a second attempt on a new connection to another server. It
 // returns nil if no hedge was permitted.
 func (c *call) sendHedge(primary *attempt) *attempt {
-	p, refused := c.admit()
+	assigned, refused := c.admit()
 	if refused != nil {
 		return nil
 	}
-	p.Kind = booking.Hedge
-	h := c.newAttempt(p, newConnection)
+	assigned.Kind = booking.Hedge
+	h := c.newAttempt(assigned, newConnection)
 	c.track(h)
 	c.send(h)
 	if h.outcome == mustardsaddle.Ran {
@@ -273,7 +273,7 @@
 func (c *call) send(a *attempt) {
 	a.send(nil)
 	if c.setWinner(a) {
-		c.match.lane.Answered(a.latency)
+		c.match.controller.RecordLatency(a.latency)
 		a.observeLoadReport()
 		return
 	}
@@ -286,7 +286,7 @@
 	}
 	c.endAttempt(outcome)
 	if errors.Is(context.Cause(a.ctx), errSuperseded) {
-		c.match.lane.Answered(a.latency) // a lower bound if canceled before the response
+		c.match.controller.RecordLatency(a.latency) // a lower bound if canceled before the response
 	}
 	a.finish()
 }
@@ -310,11 +310,11 @@
 // refuse ends the call with a refusal.
 func (c *call) refuse(refused *refusal.Refusal) {
 	c.startResponse()
-	c.match.lane.Metrics.Outcomes[refused.Outcome].Inc(1)
+	c.match.controller.Metrics.Outcomes[refused.Outcome].Inc(1)
 	c.mu.Lock()
 	id := c.lastAttemptID
 	c.mu.Unlock()
-	refused.Service, refused.Waited = c.match.lane.Service, time.Since(c.start)
+	refused.Service, refused.Waited = c.match.controller.Service, time.Since(c.start)
 	c.g.refuse(c.w, c.r, id, refused)
 }
 
@@ -338,8 +338,8 @@
 	if c.responseStarted {
 		return
 	}
-	c.timer.Reset(c.g.cfg.Progress)
-	_ = http.NewResponseController(c.w).SetReadDeadline(time.Now().Add(c.g.cfg.Progress))
+	c.timer.Reset(c.g.cfg.ProgressTimeout)
+	_ = http.NewResponseController(c.w).SetReadDeadline(time.Now().Add(c.g.cfg.ProgressTimeout))
 }
 
 // uploadDone starts the deadline for the response header.
--- a/internal/request/gateway/claim.go
+++ b/internal/request/gateway/claim.go
@@ -29,7 +29,7 @@
 	}
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline)
 	defer cancel()
-	claim, held, err := c.g.cfg.Claims.Acquire(ctx, c.match.lane.Service, key, c.g.nextAttempt())
+	claim, held, err := c.g.cfg.Claims.Acquire(ctx, c.match.controller.Service, key, c.g.nextAttempt())
 	if err != nil {
 		return refusal.NotRun(code.Of(err))
 	}
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -57,18 +57,18 @@
 
 // Default values of Config.
 const (
-	defaultDeadline    = 10 * time.Second
-	defaultProgress    = 15 * time.Second
-	defaultBodyBytes   = 1 << 30
-	defaultReplayBytes = 64 << 10
-	defaultMaxAttempts = 3
-	defaultDialTimeout = time.Second
-	defaultIdleTimeout = 15 * time.Second
+	defaultDeadline        = 10 * time.Second
+	defaultProgressTimeout = 15 * time.Second
+	defaultMaxBodyBytes    = 1 << 30
+	defaultMaxReplayBytes  = 64 << 10
+	defaultMaxAttempts     = 3
+	defaultDialTimeout     = time.Second
+	defaultIdleTimeout     = 15 * time.Second
 )
 
-// Service declares how the servers of a service report a request that they did not
-// execute.
-type Service struct {
+// ServiceConfig declares how the servers of a service report a request that they did
+// not execute.
+type ServiceConfig struct {
 	// NotRunStatus is the status code that, together with NotRunHeader, means that the
 	// server did not execute the request; 0 if servers never declare this.
 	NotRunStatus int
@@ -82,12 +82,14 @@
 	Name string
 	// Deadline is the timeout for the response header if the rule has none.
 	Deadline time.Duration
-	// Progress is the timeout for a request or response body that makes no progress.
-	Progress time.Duration
-	// BodyBytes is the maximum size of a request body.
-	BodyBytes int64
-	// ReplayBytes is the maximum size of a request body that is buffered for retries.
-	ReplayBytes int64
+	// ProgressTimeout is the timeout for a request or response body that makes no
+	// progress.
+	ProgressTimeout time.Duration
+	// MaxBodyBytes is the maximum size of a request body.
+	MaxBodyBytes int64
+	// MaxReplayBytes is the maximum size of a request body that is buffered for
+	// retries.
+	MaxReplayBytes int64
 	// MaxAttempts is the maximum number of attempts of one call.
 	MaxAttempts int
 	// DialTimeout bounds the time to open a connection to a server.
@@ -100,7 +102,7 @@
 	// Admission configures admission control and the selection of servers.
 	Admission admission.Options
 	// Services holds the declarations by service.
-	Services map[string]Service
+	Services map[string]ServiceConfig
 	// Claims stores the claims of requests whose rule has Repeat=Claim; if nil, such
 	// requests are refused.
 	Claims mustardsaddle.ClaimStore
@@ -115,9 +117,9 @@
 // withDefaults replaces zero values by the defaults.
 func (cfg Config) withDefaults() Config {
 	setDefault(&cfg.Deadline, defaultDeadline)
-	setDefault(&cfg.Progress, defaultProgress)
-	setDefault(&cfg.BodyBytes, defaultBodyBytes)
-	setDefault(&cfg.ReplayBytes, defaultReplayBytes)
+	setDefault(&cfg.ProgressTimeout, defaultProgressTimeout)
+	setDefault(&cfg.MaxBodyBytes, defaultMaxBodyBytes)
+	setDefault(&cfg.MaxReplayBytes, defaultMaxReplayBytes)
 	setDefault(&cfg.MaxAttempts, defaultMaxAttempts)
 	setDefault(&cfg.DialTimeout, defaultDialTimeout)
 	setDefault(&cfg.IdleTimeout, defaultIdleTimeout)
@@ -156,7 +158,7 @@
 	attemptSeq    atomic.Uint64
 	inFlight      atomic.Int64
 	stopping      atomic.Bool
-	lanes         *admission.Lanes
+	controllers   *admission.Controllers
 	buffers       sync.Pool
 
 	mu sync.Mutex
@@ -177,7 +179,7 @@
 		header:        header.NewGateway(cfg.Name),
 		rng:           rand.New(rand.NewPCG(cfg.Seed, 4)),
 	}
-	g.lanes = admission.NewLanes(admission.Config{
+	g.controllers = admission.NewControllers(admission.Config{
 		Options: cfg.Admission, Name: cfg.Name, MinRetryAfter: cfg.minRetryAfter(), Transport: g.pooled,
 		Headers: cfg.Headers, Rules: g.Rules, Metrics: cfg.Metrics, Logger: cfg.Logger, Seed: cfg.Seed,
 	})
@@ -195,25 +197,25 @@
 	return g.rules.Load()
 }
 
-// Lanes returns the admission state of all services, as a prober needs it.
-func (g *Gateway) Lanes() *admission.Lanes {
-	return g.lanes
+// Controllers returns the admission state of all services, as a prober needs it.
+func (g *Gateway) Controllers() *admission.Controllers {
+	return g.controllers
 }
 
 // SetServers replaces the known servers of a service.
 func (g *Gateway) SetServers(now time.Time, service string, servers []mustardsaddle.Server) {
-	g.lanes.SetServers(now, service, servers)
+	g.controllers.SetServers(now, service, servers)
 }
 
 // SetFleet replaces the list of gateway VMs, including this one.
 func (g *Gateway) SetFleet(now time.Time, gateways []mustardsaddle.VM) {
-	g.lanes.SetFleet(now, gateways)
+	g.controllers.SetFleet(now, gateways)
 }
 
-// SetRetry changes the bounds of retries and hedges in a window: the share earned by
-// each call and the slack of the whole fleet.
-func (g *Gateway) SetRetry(now time.Time, bounds booking.Bounds) {
-	g.lanes.SetRetry(now, bounds)
+// SetRetryBudget changes the bounds of retries and hedges in a window: the share earned
+// by each call and the slack of the whole fleet.
+func (g *Gateway) SetRetryBudget(now time.Time, bounds booking.Bounds) {
+	g.controllers.SetRetry(now, bounds)
 }
 
 // Listener wraps the listener for callers, so that the error responses of net/http
--- a/internal/request/gateway/harness_test.go
+++ b/internal/request/gateway/harness_test.go
@@ -190,7 +190,7 @@
 // addresses.
 func newGateway(t testing.TB, cfg gateway.Config, addresses ...string) (*httptest.Server, *gateway.Gateway) {
 	cfg.Name = "gateway-1"
-	cfg.Services = map[string]gateway.Service{"Booking": {NotRunStatus: 503, NotRunHeader: "Endpoint-Not-Run"}}
+	cfg.Services = map[string]gateway.ServiceConfig{"Booking": {NotRunStatus: 503, NotRunHeader: "Endpoint-Not-Run"}}
 	g := gateway.New(cfg)
 	file, problems := rule.Parse(rules)
 	if len(problems) > 0 {
--- a/internal/request/gateway/http_test.go
+++ b/internal/request/gateway/http_test.go
@@ -79,7 +79,7 @@
 		{"unknown service", "", "", compileRules(t, "Path=/x Service=None # Mei Lin: none"), 503, "Code=4002 Outcome=NotRun\n"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			front, g := newGateway(t, gateway.Config{BodyBytes: 1000}, s.address())
+			front, g := newGateway(t, gateway.Config{MaxBodyBytes: 1000}, s.address())
 			g.SetRules(tc.rules)
 			resp, text, err := do(t, front, "POST", "/x", tc.body, "Connection", "Upgrade", "Upgrade", tc.upgrade)
 			if err != nil || resp.StatusCode != tc.status || text != tc.text {
@@ -220,7 +220,7 @@
 		release := make(chan struct{})
 		s := newCountingServer(t, func(http.ResponseWriter, *http.Request) { <-release })
 		t.Cleanup(func() { close(release) })
-		front, g := newGateway(t, gateway.Config{Deadline: 200 * time.Millisecond, Admission: admission.Options{MaxWaiting: 1}}, s.address())
+		front, g := newGateway(t, gateway.Config{Deadline: 200 * time.Millisecond, Admission: admission.Options{MaxQueued: 1}}, s.address())
 		g.SetFleet(time.Now(), make([]mustardsaddle.VM, 1000)) // limits each gateway to one connection per server
 		first := make(chan string, 1)
 		go func() {
--- a/internal/request/gateway/idle_test.go
+++ b/internal/request/gateway/idle_test.go
@@ -13,8 +13,8 @@
 )
 
 // TestConnectionIdleTooLong sends at-most-once requests with pauses of up to twice
-// the alive window, so that some are given a connection that has been idle for too
-// long. Nothing may be sent on it; the request must be sent on a new connection
+// the liveness window, so that some are given a connection that has been idle for
+// too long. Nothing may be sent on it; the request must be sent on a new connection
 // instead.
 func TestConnectionIdleTooLong(t *testing.T) {
 	const (
--- a/internal/request/gateway/log.go
+++ b/internal/request/gateway/log.go
@@ -28,10 +28,10 @@
 
 // logRoute logs a routing decision with its inputs.
 func (c *call) logRoute(a *attempt) {
-	choice := a.placement.Choice
+	choice := a.assignment.Choice
 	line := c.g.withRequestID(event.Info(c.g.cfg.Logger, event.RouteChosen), c.r).Str("Attempt", a.id).
-		Int64("Generation", c.match.generation).Str("Service", c.match.lane.Service).Str("Server", choice.Server.Name).
-		Str("Reason", choice.Reason).Str("Kind", a.placement.Kind.String()).Dur("Queued", a.placement.Queued).
+		Int64("Generation", c.match.generation).Str("Service", c.match.controller.Service).Str("Server", choice.Server.Name).
+		Str("Reason", choice.Reason).Str("Kind", a.assignment.Kind.String()).Dur("Queued", a.assignment.Queued).
 		Dur("Left", time.Until(c.deadline))
 	if !choice.Report.At.IsZero() {
 		line = line.Int("Busy", choice.Report.InFlight).Int("Slots", choice.Report.Slots).
@@ -43,7 +43,7 @@
 // logAttempt logs an attempt that was not used for the response.
 func (c *call) logAttempt(a *attempt) {
 	line := c.g.withRequestID(event.Info(c.g.cfg.Logger, event.AttemptFailed), c.r).Str("Attempt", a.id).
-		Str("Server", a.placement.Choice.Server.Name).Int("Code", int(a.code())).Str("Outcome", a.outcome.String()).
+		Str("Server", a.assignment.Choice.Server.Name).Int("Code", int(a.code())).Str("Outcome", a.outcome.String()).
 		Dur("Took", a.latency)
 	if a.resp != nil {
 		line = line.Int("Status", a.resp.StatusCode)
@@ -53,9 +53,9 @@
 
 // logResult logs the result of a call that was answered, and updates its metrics.
 func (c *call) logResult(a *attempt, bytes int64) {
-	c.match.lane.Metrics.Outcomes[mustardsaddle.Ran].Inc(1)
-	c.match.lane.Relayed(bytes)
-	c.g.withRequestID(event.Info(c.g.cfg.Logger, event.CallEnded), c.r).Str("Attempt", a.id).Str("Service", c.match.lane.Service).
-		Str("Server", a.placement.Choice.Server.Name).Int("Status", a.resp.StatusCode).
+	c.match.controller.Metrics.Outcomes[mustardsaddle.Ran].Inc(1)
+	c.match.controller.RecordResponseSize(bytes)
+	c.g.withRequestID(event.Info(c.g.cfg.Logger, event.CallEnded), c.r).Str("Attempt", a.id).Str("Service", c.match.controller.Service).
+		Str("Server", a.assignment.Choice.Server.Name).Int("Status", a.resp.StatusCode).
 		Str("Outcome", mustardsaddle.Ran.String()).Int64("Bytes", bytes).Dur("Took", time.Since(c.start)).Send()
 }
--- a/internal/request/gateway/match.go
+++ b/internal/request/gateway/match.go
@@ -26,8 +26,8 @@
 	// generation is the generation of the rules that matched.
 	generation int64
 	// attempts is the maximum number of attempts.
-	attempts int
-	lane     *admission.Lane
+	attempts   int
+	controller *admission.Controller
 }
 
 // match finds the rule of a request. It refuses a request that has no rule or
@@ -40,7 +40,7 @@
 	if isUpgrade(r) {
 		return matchResult{}, refusal.NotRun(code.CallUpgrade)
 	}
-	if r.ContentLength > g.cfg.BodyBytes {
+	if r.ContentLength > g.cfg.MaxBodyBytes {
 		return matchResult{}, refusal.NotRun(code.CallTooLarge)
 	}
 	found, ok := table.Match(r)
@@ -48,10 +48,10 @@
 		return matchResult{}, refusal.NotRun(code.CallNoRule)
 	}
 	m := matchResult{
-		rule: found, generation: table.File.Generation, repeat: found.RepeatOf(r.Method), lane: g.lanes.Lane(g.pickService(table.Split(found))),
+		rule: found, generation: table.File.Generation, repeat: found.RepeatOf(r.Method), controller: g.controllers.Get(g.pickService(table.Split(found))),
 		deadline: cmp.Or(found.Deadline, g.cfg.Deadline), attempts: cmp.Or(found.Attempts, g.cfg.MaxAttempts),
 	}
-	if m.lane == nil {
+	if m.controller == nil {
 		return matchResult{}, refusal.NotRun(code.CallNoServer)
 	}
 	if timeout, ok := g.callerTimeout(r); ok {
--- a/internal/request/gateway/once_test.go
+++ b/internal/request/gateway/once_test.go
@@ -167,7 +167,7 @@
 }
 
 // TestIdleConnectionIsNoFault sends at-most-once calls while the pooled connection
-// has been idle for longer than the alive window. They must use a new connection
+// has been idle for longer than the liveness window. They must use a new connection
 // instead of failing.
 func TestIdleConnectionIsNoFault(t *testing.T) {
 	s := newCountingServer(t, nil)
@@ -175,7 +175,7 @@
 	if _, _, err := do(t, front, "GET", "/warm", ""); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(200 * time.Millisecond) // longer than the alive window
+	time.Sleep(200 * time.Millisecond) // longer than the liveness window
 	for i := range 4 {
 		call := fmt.Sprint("idle-", i)
 		resp, text, err := do(t, front, "POST", "/bookings", "a lathe", "Test-Call", call)
--- a/internal/request/gateway/prober_test.go
+++ b/internal/request/gateway/prober_test.go
@@ -18,7 +18,7 @@
 // countedBudget is a probe budget that grants a fixed number of messages.
 type countedBudget struct{ left atomic.Int64 }
 
-func (b *countedBudget) Take(_ time.Time, messages, _ int) bool {
+func (b *countedBudget) Allow(_ time.Time, messages, _ int) bool {
 	return b.left.Add(-int64(messages)) >= 0
 }
 
@@ -37,7 +37,7 @@
 		budget.left.Store(5)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
-		go admission.NewProber(admission.ProberConfig{Lanes: g.Lanes(), Budget: budget, Interval: time.Millisecond}).Run(ctx, done)
+		go admission.NewProber(admission.ProberConfig{Controllers: g.Controllers(), Budget: budget, Interval: time.Millisecond}).Run(ctx, done)
 		convey.So((<-reports).Draining, convey.ShouldBeTrue)
 		for budget.left.Load() > -3 {
 			time.Sleep(time.Millisecond)
@@ -60,7 +60,7 @@
 	budget.left.Store(100)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	cfg := admission.ProberConfig{Lanes: g.Lanes(), Budget: budget, Interval: time.Millisecond, Timeout: time.Minute}
+	cfg := admission.ProberConfig{Controllers: g.Controllers(), Budget: budget, Interval: time.Millisecond, Timeout: time.Minute}
 	go admission.NewProber(cfg).Run(ctx, done)
 	for range 5 {
 		if server := <-reports; server != s.address() {
--- a/internal/request/gateway/question_test.go
+++ b/internal/request/gateway/question_test.go
@@ -17,8 +17,8 @@
 )
 
 // TestQuestionsProveConnectionsAlive sends at-most-once requests with pauses longer
-// than the alive window. The load query before each request shows that a connection
-// is alive, so few requests need a new connection.
+// than the liveness window. The load query before each request shows that a
+// connection is alive, so few requests need a new connection.
 func TestQuestionsProveConnectionsAlive(t *testing.T) {
 	const (
 		calls          = 20
@@ -42,9 +42,9 @@
 	server.Start()
 	t.Cleanup(server.Close)
 	front, _ := newGateway(t, gateway.Config{Admission: admission.Options{
-		NewChooser:      func(string) mustardsaddle.Chooser { return survey.New(survey.Config{}) },
-		ServerPerSecond: ratePerSecond,
-		Budget:          report.NewBudget(report.BudgetConfig{MessagesPerSecond: ratePerSecond, BytesPerSecond: bytes}),
+		NewChooser:           func(string) mustardsaddle.Chooser { return survey.New(survey.Config{}) },
+		LoadQueriesPerServer: ratePerSecond,
+		Budget:               report.NewBudget(report.BudgetConfig{MessagesPerSecond: ratePerSecond, BytesPerSecond: bytes}),
 	}}, strings.TrimPrefix(server.URL, "http://"))
 	for range calls {
 		resp, text, err := do(t, front, http.MethodPost, "/bookings", "a lathe")
--- a/internal/request/gateway/relay.go
+++ b/internal/request/gateway/relay.go
@@ -60,7 +60,7 @@
 // relayBuffered reads a small response completely before it is sent.
 func (c *call) relayBuffered(h http.Header, a *attempt, src *bodySource, buf []byte) {
 	if _, err := io.ReadFull(src, buf); err != nil {
-		c.refuse(&refusal.Refusal{Code: code.CallBroken, Outcome: mustardsaddle.Unknown, RetryAfter: c.match.lane.RetryAfter()})
+		c.refuse(&refusal.Refusal{Code: code.CallBroken, Outcome: mustardsaddle.Unknown, RetryAfter: c.match.controller.RetryAfter()})
 		return
 	}
 	c.relayHeader(h, a)
@@ -140,11 +140,11 @@
 // abortResponse aborts a response that could not be relayed completely. It does not
 // return.
 func (c *call) abortResponse(a *attempt, n int64, err error) {
-	c.match.lane.Metrics.Cut.Inc(1)
-	c.match.lane.Metrics.Outcomes[mustardsaddle.Ran].Inc(1)
+	c.match.controller.Metrics.Truncated.Inc(1)
+	c.match.controller.Metrics.Outcomes[mustardsaddle.Ran].Inc(1)
 	c.resetConnection(a)
-	c.g.withRequestID(event.Warn(c.g.cfg.Logger, event.CallCut), c.r).Str("Attempt", a.id).Str("Service", c.match.lane.Service).
-		Str("Server", a.placement.Choice.Server.Name).Int("Code", int(code.CallBroken)).Int64("Bytes", n).Err(err).Send()
+	c.g.withRequestID(event.Warn(c.g.cfg.Logger, event.CallCut), c.r).Str("Attempt", a.id).Str("Service", c.match.controller.Service).
+		Str("Server", a.assignment.Choice.Server.Name).Int("Code", int(code.CallBroken)).Int64("Bytes", n).Err(err).Send()
 	panic(http.ErrAbortHandler)
 }
 
--- a/internal/request/gateway/resume.go
+++ b/internal/request/gateway/resume.go
@@ -40,7 +40,7 @@
 	if c.resumable(a) {
 		s.etag = a.resp.Header.Get("Etag")
 	}
-	s.timer = time.AfterFunc(c.g.cfg.Progress, s.onStall)
+	s.timer = time.AfterFunc(c.g.cfg.ProgressTimeout, s.onStall)
 	return s
 }
 
@@ -62,7 +62,7 @@
 // Read reads from the current attempt, and resumes the body if it breaks off.
 func (s *bodySource) Read(p []byte) (int, error) {
 	for {
-		s.timer.Reset(s.c.g.cfg.Progress)
+		s.timer.Reset(s.c.g.cfg.ProgressTimeout)
 		n, err := s.attempt.resp.Body.Read(p)
 		s.timer.Stop()
 		s.offset += int64(n)
@@ -98,10 +98,10 @@
 		s.mu.Unlock()
 		broken.err = cause
 		broken.finish()
-		l := s.c.match.lane
-		l.Metrics.Resumed.Inc(1)
-		event.Info(s.c.g.cfg.Logger, event.CallResumed).Str("Attempt", next.id).Str("Service", l.Service).
-			Str("Server", next.placement.Choice.Server.Name).Int64("Offset", s.offset).Err(cause).Send()
+		controller := s.c.match.controller
+		controller.Metrics.Resumed.Inc(1)
+		event.Info(s.c.g.cfg.Logger, event.CallResumed).Str("Attempt", next.id).Str("Service", controller.Service).
+			Str("Server", next.assignment.Choice.Server.Name).Int64("Offset", s.offset).Err(cause).Send()
 		return nil
 	}
 	return cause
@@ -110,15 +110,15 @@
 // requestRest requests the rest of the body from another server, and verifies that
 // it continues the same body.
 func (s *bodySource) requestRest() (*attempt, bool) {
-	l := s.c.match.lane
-	if !l.TakeRetry(time.Now()) {
+	controller := s.c.match.controller
+	if !controller.TakeRetry(time.Now()) {
 		return nil, false
 	}
-	choice, ok := l.TakeOther(time.Now(), s.attempt.placement.Choice.Server.Name)
+	choice, ok := controller.ChooseOther(time.Now(), s.attempt.assignment.Choice.Server.Name)
 	if !ok {
 		return nil, false
 	}
-	a := s.c.newAttempt(admission.Placement{Kind: booking.Retry, Choice: choice}, newConnection)
+	a := s.c.newAttempt(admission.Assignment{Kind: booking.Retry, Choice: choice}, newConnection)
 	timer := time.AfterFunc(s.c.match.deadline, func() { a.cancel(errDeadline) })
 	a.send(func(h http.Header) {
 		h["Range"] = []string{fmt.Sprintf("bytes=%d-", s.offset)}
--- a/internal/request/gateway/retry_test.go
+++ b/internal/request/gateway/retry_test.go
@@ -46,7 +46,7 @@
 		arrived <- struct{}{}
 		<-release
 	})
-	front, g := newGateway(t, gateway.Config{Admission: admission.Options{MaxWaiting: -1, HedgeShare: -1}}, s.address())
+	front, g := newGateway(t, gateway.Config{Admission: admission.Options{MaxQueued: -1, HedgeShare: -1}}, s.address())
 	file, problems := rule.Parse("Path=/rosters Service=Booking # Mei Lin: rosters\nService=Booking Connections=1 # Mei Lin: servers")
 	if len(problems) > 0 {
 		t.Fatal(problems)
--- a/internal/request/gateway/server.go
+++ b/internal/request/gateway/server.go
@@ -12,7 +12,7 @@
 
 // Default values of ServerConfig.
 const (
-	defaultHeaderBytes       = 64 << 10
+	defaultMaxHeaderBytes    = 64 << 10
 	defaultHeaderTimeout     = 10 * time.Second
 	defaultCallerIdleTimeout = 60 * time.Second
 	maxConcurrentStreams     = 250
@@ -23,8 +23,8 @@
 type ServerConfig struct {
 	// Handler handles the requests.
 	Handler *Gateway
-	// HeaderBytes is the maximum size of a request header.
-	HeaderBytes int
+	// MaxHeaderBytes is the maximum size of a request header.
+	MaxHeaderBytes int
 	// HeaderTimeout bounds the time to read a request header.
 	HeaderTimeout time.Duration
 	// Logger receives the errors that net/http logs.
@@ -35,7 +35,7 @@
 // a request is not limited; bodies are limited by the progress timeout. Idle
 // connections are kept for the time that the rules in force set.
 func NewServer(cfg ServerConfig) *http.Server {
-	setDefault(&cfg.HeaderBytes, defaultHeaderBytes)
+	setDefault(&cfg.MaxHeaderBytes, defaultMaxHeaderBytes)
 	setDefault(&cfg.HeaderTimeout, defaultHeaderTimeout)
 	idle := connection.NewIdleCloser(cfg.Handler.callerIdleTimeout)
 	protocols := new(http.Protocols)
@@ -43,7 +43,7 @@
 	protocols.SetUnencryptedHTTP2(true)
 	return &http.Server{
 		Handler:           cfg.Handler,
-		MaxHeaderBytes:    cfg.HeaderBytes,
+		MaxHeaderBytes:    cfg.MaxHeaderBytes,
 		ReadHeaderTimeout: cfg.HeaderTimeout,
 		IdleTimeout:       connection.ServerIdleTimeout,
 		ConnState:         idle.StateChanged,
--- a/internal/request/gateway/whole_test.go
+++ b/internal/request/gateway/whole_test.go
@@ -237,7 +237,7 @@
 			})
 			stalls := func(n int) fault { return fault{downBytes: 1 << 20 * int64(n), freeze: true} }
 			a, b := newFaultProxy(t, s.address(), stalls), newFaultProxy(t, s.address(), stalls)
-			front, _ := newGateway(t, gateway.Config{Progress: 100 * time.Millisecond}, a.Addr().String(), b.Addr().String())
+			front, _ := newGateway(t, gateway.Config{ProgressTimeout: 100 * time.Millisecond}, a.Addr().String(), b.Addr().String())
 			_, n, _, err := download(front)
 			if complete := err == nil && n == 4<<20; complete != (etag != "") || err == nil != complete {
 				t.Errorf("got %d bytes, %v", n, err)
--- a/internal/request/slot/slot.go
+++ b/internal/request/slot/slot.go
@@ -4,18 +4,18 @@
 //
 // # Usage
 //
-//	q := slot.New(slot.Config{MaxWaiting: 1024})
-//	result := q.Join(now, slot.Ticket{ID: id, Deadline: deadline})
-//	if !result.Waits { ... }  // refuse the call with result.RetryAfter
+//	q := slot.New(slot.Config{MaxQueued: 1024})
+//	result := q.Join(now, slot.Entry{ID: id, Deadline: deadline})
+//	if !result.Queued { ... }  // refuse the call with result.RetryAfter
 //	...
-//	q.Released(now, latency)   // an attempt ended
-//	id, ok := q.First(now)     // the call to serve next
+//	q.RecordRelease(now, latency) // an attempt ended
+//	id, ok := q.Next(now)         // the call to serve next
 //
 // # Invariants
 //
 // A call is refused when it joins, not later, if the estimated queueing delay would
 // leave too little time before its deadline for an attempt. A call that is still queued
-// when the time left becomes too short is returned by Expired.
+// when the time left becomes too short is returned by RemoveExpired.
 package slot
 
 import (
@@ -29,9 +29,9 @@
 	// a server, because a chooser may make a server available again after a timeout
 	// without any other event.
 	PollInterval = 20 * time.Millisecond
-	// PatienceShare limits the time that a call waits in the queue to 1/PatienceShare of
-	// its target latency.
-	PatienceShare = 8
+	// MaxWaitDivisor limits the time that a call waits in the queue to 1/MaxWaitDivisor
+	// of its target latency.
+	MaxWaitDivisor = 8
 )
 
 const (
@@ -49,14 +49,14 @@
 
 // Config configures a Queue.
 type Config struct {
-	// MaxWaiting is the maximum number of queued calls.
-	MaxWaiting int
+	// MaxQueued is the maximum number of queued calls.
+	MaxQueued int
 	// MinRetryAfter is the shortest Retry-After delay; 0 means 1 s.
 	MinRetryAfter time.Duration
 }
 
-// Ticket describes a call that asks to be queued. It is immutable.
-type Ticket struct {
+// Entry describes a call that asks to be queued. It is immutable.
+type Entry struct {
 	// ID identifies the call.
 	ID uint64
 	// Deadline is the time at which the caller gives up.
@@ -66,16 +66,17 @@
 	Target time.Time
 	// Priority is the priority of the call; 0 is the highest.
 	Priority int
-	// Patience is the maximum time in the queue; 0 means that only the deadline limits it.
-	Patience time.Duration
+	// MaxWait is the maximum time in the queue; 0 means that only the deadline limits
+	// it.
+	MaxWait time.Duration
 }
 
 // JoinResult is the result of Join.
 type JoinResult struct {
-	// Waits is true if the call was queued, and false if it was refused.
-	Waits bool
-	// Until is the time at which a queued call expires.
-	Until time.Time
+	// Queued is true if the call was queued, and false if it was refused.
+	Queued bool
+	// ExpiresAt is the time at which a queued call expires.
+	ExpiresAt time.Time
 	// RetryAfter is the Retry-After delay of a refused call.
 	RetryAfter time.Duration
 }
@@ -85,15 +86,15 @@
 // arrival. It is not safe for concurrent use.
 type Queue struct {
 	cfg             Config
-	waiting         []queuedTicket
+	waiting         []queuedEntry
 	releaseInterval time.Duration // moving average of the time between releases
 	latency         time.Duration // moving average of the latency of attempts
 	lastRelease     time.Time     // last release since the queue was empty, if any
 }
 
-type queuedTicket struct {
-	Ticket
-	until time.Time // when the call expires
+type queuedEntry struct {
+	Entry
+	expiresAt time.Time // when the call expires
 }
 
 // New returns an empty queue.
@@ -105,35 +106,35 @@
 // Join queues a call or refuses it. A call is refused if the queue is full, or if at
 // the measured release rate it would be served too late to complete an attempt of
 // average latency before its deadline.
-func (q *Queue) Join(now time.Time, t Ticket) JoinResult {
-	until := t.Deadline.Add(-max(q.latency, t.Deadline.Sub(now)/attemptShare))
-	if limit := now.Add(t.Patience); t.Patience > 0 && limit.Before(until) {
-		until = limit
+func (q *Queue) Join(now time.Time, e Entry) JoinResult {
+	expiresAt := e.Deadline.Add(-max(q.latency, e.Deadline.Sub(now)/attemptShare))
+	if limit := now.Add(e.MaxWait); e.MaxWait > 0 && limit.Before(expiresAt) {
+		expiresAt = limit
 	}
 	servedAt := now.Add(q.releaseInterval * time.Duration(len(q.waiting)+1))
-	if len(q.waiting) >= q.cfg.MaxWaiting || !now.Before(until) || servedAt.After(until) {
+	if len(q.waiting) >= q.cfg.MaxQueued || !now.Before(expiresAt) || servedAt.After(expiresAt) {
 		return JoinResult{RetryAfter: q.RetryAfter()}
 	}
-	q.waiting = append(q.waiting, queuedTicket{Ticket: t, until: until})
-	return JoinResult{Waits: true, Until: until}
+	q.waiting = append(q.waiting, queuedEntry{Entry: e, expiresAt: expiresAt})
+	return JoinResult{Queued: true, ExpiresAt: expiresAt}
 }
 
-// First returns the call to be served next, or false if the queue is empty.
-func (q *Queue) First(now time.Time) (uint64, bool) {
+// Next returns the call to be served next, or false if the queue is empty.
+func (q *Queue) Next(now time.Time) (uint64, bool) {
 	if len(q.waiting) == 0 {
 		return 0, false
 	}
-	first := q.waiting[0]
+	next := q.waiting[0]
 	for _, w := range q.waiting[1:] {
-		if q.precedes(now, w.Ticket, first.Ticket) {
-			first = w
+		if q.precedes(now, w.Entry, next.Entry) {
+			next = w
 		}
 	}
-	return first.ID, true
+	return next.ID, true
 }
 
 // precedes reports whether a is served before b, which arrived earlier.
-func (q *Queue) precedes(now time.Time, a, b Ticket) bool {
+func (q *Queue) precedes(now time.Time, a, b Entry) bool {
 	if timely, otherTimely := q.meetsTarget(now, a), q.meetsTarget(now, b); timely != otherTimely {
 		return timely
 	}
@@ -141,14 +142,14 @@
 }
 
 // meetsTarget reports whether a call sent now is expected to meet its target.
-func (q *Queue) meetsTarget(now time.Time, t Ticket) bool {
-	return t.Target.IsZero() || !now.Add(q.latency).After(t.Target)
+func (q *Queue) meetsTarget(now time.Time, e Entry) bool {
+	return e.Target.IsZero() || !now.Add(q.latency).After(e.Target)
 }
 
-// Leave removes a call that was assigned a server, was canceled or timed out. It
+// Remove removes a call that was assigned a server, was canceled or timed out. It
 // returns false if the call is not queued.
-func (q *Queue) Leave(id uint64) bool {
-	i := slices.IndexFunc(q.waiting, func(w queuedTicket) bool { return w.ID == id })
+func (q *Queue) Remove(id uint64) bool {
+	i := slices.IndexFunc(q.waiting, func(w queuedEntry) bool { return w.ID == id })
 	if i < 0 {
 		return false
 	}
@@ -156,11 +157,11 @@
 	return true
 }
 
-// Expired removes and returns the calls whose time in the queue is over.
-func (q *Queue) Expired(now time.Time) []uint64 {
+// RemoveExpired removes and returns the calls whose time in the queue is over.
+func (q *Queue) RemoveExpired(now time.Time) []uint64 {
 	var ids []uint64
-	q.waiting = slices.DeleteFunc(q.waiting, func(w queuedTicket) bool {
-		expired := !now.Before(w.until)
+	q.waiting = slices.DeleteFunc(q.waiting, func(w queuedEntry) bool {
+		expired := !now.Before(w.expiresAt)
 		if expired {
 			ids = append(ids, w.ID)
 		}
@@ -169,10 +170,10 @@
 	return ids
 }
 
-// Released records that an attempt ended with the given latency, or with an unknown
+// RecordRelease records that an attempt ended with the given latency, or with an unknown
 // one if it is 0. While calls are queued, the time between two releases measures the
 // service rate. The first release after the queue was empty gives no sample.
-func (q *Queue) Released(now time.Time, latency time.Duration) {
+func (q *Queue) RecordRelease(now time.Time, latency time.Duration) {
 	if latency > 0 {
 		q.latency = ewma(q.latency, latency)
 	}
--- a/internal/request/slot/slot_test.go
+++ b/internal/request/slot/slot_test.go
@@ -14,31 +14,31 @@
 
 func TestEveryWaiterIsAnsweredByItsDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := slot.New(slot.Config{MaxWaiting: rapid.IntRange(0, 8).Draw(t, "MaxWaiting")})
+		q := slot.New(slot.Config{MaxQueued: rapid.IntRange(0, 8).Draw(t, "MaxQueued")})
 		now, id := start, uint64(0)
 		deadlines := make(map[uint64]time.Time)
 		for range rapid.IntRange(1, 60).Draw(t, "Steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(t, "Millis")) * time.Millisecond)
-			for _, expired := range q.Expired(now) {
+			for _, expired := range q.RemoveExpired(now) {
 				delete(deadlines, expired)
 			}
 			switch rapid.IntRange(0, 2).Draw(t, "Step") {
 			case 0:
 				id++
 				deadline := now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "Deadline")) * time.Millisecond)
-				if v := q.Join(now, slot.Ticket{ID: id, Deadline: deadline}); v.Waits {
+				if result := q.Join(now, slot.Entry{ID: id, Deadline: deadline}); result.Queued {
 					deadlines[id] = deadline
-					if v.Until.After(deadline) {
-						t.Fatalf("got a call queued until %v, want at most its deadline %v", v.Until, deadline)
+					if result.ExpiresAt.After(deadline) {
+						t.Fatalf("got a call queued until %v, want at most its deadline %v", result.ExpiresAt, deadline)
 					}
-				} else if v.RetryAfter < time.Second || v.RetryAfter > time.Minute {
-					t.Fatalf("got Retry-After %v, want between 1s and 1m", v.RetryAfter)
+				} else if result.RetryAfter < time.Second || result.RetryAfter > time.Minute {
+					t.Fatalf("got Retry-After %v, want between 1s and 1m", result.RetryAfter)
 				}
 			case 1:
-				q.Released(now, time.Duration(rapid.IntRange(1, 50).Draw(t, "Latency"))*time.Millisecond)
+				q.RecordRelease(now, time.Duration(rapid.IntRange(1, 50).Draw(t, "Latency"))*time.Millisecond)
 			case 2:
-				if first, ok := q.First(now); ok && q.Leave(first) {
-					delete(deadlines, first)
+				if next, ok := q.Next(now); ok && q.Remove(next) {
+					delete(deadlines, next)
 				}
 			}
 			if q.Len() != len(deadlines) {
@@ -84,31 +84,31 @@
 
 func TestRefusalIsDecidedAtJoin(t *testing.T) {
 	convey.Convey("Given a queue of 10 calls with a release every 100 ms", t, func() {
-		q := slot.New(slot.Config{MaxWaiting: 100})
+		q := slot.New(slot.Config{MaxQueued: 100})
 		for id := range uint64(10) {
-			convey.So(q.Join(start, slot.Ticket{ID: id, Deadline: start.Add(time.Minute)}).Waits, convey.ShouldBeTrue)
+			convey.So(q.Join(start, slot.Entry{ID: id, Deadline: start.Add(time.Minute)}).Queued, convey.ShouldBeTrue)
 		}
-		q.Released(start, 50*time.Millisecond)
-		q.Released(start.Add(100*time.Millisecond), 50*time.Millisecond)
+		q.RecordRelease(start, 50*time.Millisecond)
+		q.RecordRelease(start.Add(100*time.Millisecond), 50*time.Millisecond)
 		now := start.Add(100 * time.Millisecond)
 		convey.Convey("A call with a deadline in 500 ms is refused immediately with a Retry-After delay", func() {
-			v := q.Join(now, slot.Ticket{ID: 99, Deadline: now.Add(500 * time.Millisecond)})
-			convey.So(v.Waits, convey.ShouldBeFalse)
-			convey.So(slot.Seconds(v.RetryAfter), convey.ShouldEqual, 2)
+			result := q.Join(now, slot.Entry{ID: 99, Deadline: now.Add(500 * time.Millisecond)})
+			convey.So(result.Queued, convey.ShouldBeFalse)
+			convey.So(slot.Seconds(result.RetryAfter), convey.ShouldEqual, 2)
 		})
 		convey.Convey("A call with a deadline in 2 s is queued", func() {
-			convey.So(q.Join(now, slot.Ticket{ID: 99, Deadline: now.Add(2 * time.Second)}).Waits, convey.ShouldBeTrue)
+			convey.So(q.Join(now, slot.Entry{ID: 99, Deadline: now.Add(2 * time.Second)}).Queued, convey.ShouldBeTrue)
 		})
 	})
 }
 
 func TestOrderUnderOverload(t *testing.T) {
 	convey.Convey("Given a burst of calls, one of which can no longer meet its target", t, func() {
-		q := slot.New(slot.Config{MaxWaiting: 100})
-		q.Released(start, 100*time.Millisecond)
+		q := slot.New(slot.Config{MaxQueued: 100})
+		q.RecordRelease(start, 100*time.Millisecond)
 		join := func(id uint64, target time.Duration, priority int) {
-			v := q.Join(start, slot.Ticket{ID: id, Deadline: start.Add(time.Second), Target: start.Add(target), Priority: priority})
-			convey.So(v.Waits, convey.ShouldBeTrue)
+			result := q.Join(start, slot.Entry{ID: id, Deadline: start.Add(time.Second), Target: start.Add(target), Priority: priority})
+			convey.So(result.Queued, convey.ShouldBeTrue)
 		}
 		join(1, 50*time.Millisecond, 0)
 		join(2, 300*time.Millisecond, 2)
@@ -117,19 +117,19 @@
 		convey.Convey("Calls that can meet their target are served first, by priority and then arrival, and late ones last", func() {
 			var order []uint64
 			for {
-				id, ok := q.First(start)
+				id, ok := q.Next(start)
 				if !ok {
 					break
 				}
 				order = append(order, id)
-				q.Leave(id)
+				q.Remove(id)
 			}
 			convey.So(order, convey.ShouldResemble, []uint64{3, 4, 2, 1})
 		})
 		convey.Convey("A call expires once its maximum time in the queue is over", func() {
-			v := q.Join(start, slot.Ticket{ID: 5, Deadline: start.Add(time.Second), Patience: 100 * time.Millisecond})
-			convey.So(v.Until, convey.ShouldEqual, start.Add(100*time.Millisecond))
-			convey.So(q.Expired(start.Add(100*time.Millisecond)), convey.ShouldResemble, []uint64{5})
+			result := q.Join(start, slot.Entry{ID: 5, Deadline: start.Add(time.Second), MaxWait: 100 * time.Millisecond})
+			convey.So(result.ExpiresAt, convey.ShouldEqual, start.Add(100*time.Millisecond))
+			convey.So(q.RemoveExpired(start.Add(100*time.Millisecond)), convey.ShouldResemble, []uint64{5})
 		})
 	})
 }
--- a/internal/standin/model/gateway.go
+++ b/internal/standin/model/gateway.go
@@ -14,8 +14,8 @@
 const (
 	// minRetryAfter is the shortest delay before a refused caller retries.
 	minRetryAfter = 50 * time.Millisecond
-	// maxWaiting limits the calls queued in a gateway.
-	maxWaiting = 64
+	// maxQueued limits the calls queued in a gateway.
+	maxQueued = 64
 	// maxAttempts limits the attempts of a call.
 	maxAttempts = 3
 	// The retry budget: within retryWindow, retries may make up retryShare of the
@@ -51,7 +51,7 @@
 	g := &gateway{
 		sim: sim, zone: vm.Zone, rng: rand.New(rand.NewPCG(sim.cfg.Seed, 1000+seed)),
 		chooser:     sim.cfg.Policy.NewChooser(),
-		queue:       slot.New(slot.Config{MaxWaiting: maxWaiting, MinRetryAfter: minRetryAfter}),
+		queue:       slot.New(slot.Config{MaxQueued: maxQueued, MinRetryAfter: minRetryAfter}),
 		queryBudget: survey.NewQueryLimiter(sim.cfg.Policy.MaxQueries),
 		waiting:     make(map[uint64]*call),
 		budgets: booking.Budgets{
@@ -118,29 +118,29 @@
 			return
 		}
 	}
-	joined := g.queue.Join(now, c.ticket())
-	if !joined.Waits {
+	joined := g.queue.Join(now, c.entry())
+	if !joined.Queued {
 		c.state.End(mustardsaddle.NotRun)
 		c.finish(Refused)
 		return
 	}
 	g.waiting[c.id] = c
-	g.sim.loop.schedule(joined.Until, g.refuseExpired)
+	g.sim.loop.schedule(joined.ExpiresAt, g.refuseExpired)
 	g.poll()
 }
 
-// ticket returns the queue entry of the call.
-func (c *call) ticket() slot.Ticket {
+// entry returns the queue entry of the call.
+func (c *call) entry() slot.Entry {
 	class := c.request.class
-	return slot.Ticket{
+	return slot.Entry{
 		ID: c.id, Deadline: c.deadline, Target: c.began.Add(class.Target), Priority: class.Priority,
-		Patience: class.Target / time.Duration(c.gateway.sim.cfg.Policy.waitDivisor()),
+		MaxWait: class.Target / time.Duration(c.gateway.sim.cfg.Policy.waitDivisor()),
 	}
 }
 
 // refuseExpired refuses the queued calls whose maximum wait is over.
 func (g *gateway) refuseExpired() {
-	for _, id := range g.queue.Expired(g.sim.loop.now) {
+	for _, id := range g.queue.RemoveExpired(g.sim.loop.now) {
 		c := g.waiting[id]
 		delete(g.waiting, id)
 		c.state.End(mustardsaddle.NotRun)
@@ -157,7 +157,7 @@
 	g.polling = true
 	g.sim.loop.scheduleAfter(slot.PollInterval, func() {
 		g.polling = false
-		id, ok := g.queue.First(g.sim.loop.now)
+		id, ok := g.queue.Next(g.sim.loop.now)
 		if !ok {
 			return
 		}
@@ -171,7 +171,7 @@
 func (g *gateway) dispatchQueued() {
 	g.refuseExpired()
 	for {
-		id, ok := g.queue.First(g.sim.loop.now)
+		id, ok := g.queue.Next(g.sim.loop.now)
 		if !ok {
 			return
 		}
@@ -180,7 +180,7 @@
 		if !ok {
 			return
 		}
-		g.queue.Leave(id)
+		g.queue.Remove(id)
 		delete(g.waiting, id)
 		c.send(choice.Server)
 	}
@@ -337,7 +337,7 @@
 	if r.Outcome != mustardsaddle.Ran {
 		latency = 0
 	}
-	g.queue.Released(g.sim.loop.now, latency)
+	g.queue.RecordRelease(g.sim.loop.now, latency)
 	g.dispatchQueued()
 }
 
@@ -351,7 +351,7 @@
 	if end == Failed && c.state.Outcome() == mustardsaddle.NotRun {
 		end = Refused
 	}
-	if c.gateway.queue.Leave(c.id) {
+	if c.gateway.queue.Remove(c.id) {
 		delete(c.gateway.waiting, c.id)
 	}
 	if c.cancelAttempt != nil {
--- a/internal/standin/model/policy.go
+++ b/internal/standin/model/policy.go
@@ -24,7 +24,7 @@
 	// attempt, if the chooser is a LoadQuerier.
 	MaxQueries int
 	// WaitDivisor sets how long a call may wait in the queue of a gateway: its target
-	// latency divided by WaitDivisor; 0 means slot.PatienceShare.
+	// latency divided by WaitDivisor; 0 means slot.MaxWaitDivisor.
 	WaitDivisor int
 	// PerfectInformation replaces the gateways by a single one that knows the state
 	// of every server at all times, without the cost of queries. It is a reference
@@ -33,7 +33,7 @@
 }
 
 func (p Policy) waitDivisor() int {
-	return cmp.Or(p.WaitDivisor, slot.PatienceShare)
+	return cmp.Or(p.WaitDivisor, slot.MaxWaitDivisor)
 }
 
 // Policies returns the policies to compare, with that of the load balancer first.
--- a/internal/standin/trial/front.go
+++ b/internal/standin/trial/front.go
@@ -57,9 +57,9 @@
 		return nil, err
 	}
 	h := &gatewayHandler{cfg: cfg, proberDone: make(chan struct{})}
-	services := make(map[string]gateway.Service)
+	services := make(map[string]gateway.ServiceConfig)
 	for _, svc := range cfg.services {
-		services[svc.name] = gateway.Service{NotRunStatus: http.StatusServiceUnavailable, NotRunHeader: server.NotRunHeader}
+		services[svc.name] = gateway.ServiceConfig{NotRunStatus: http.StatusServiceUnavailable, NotRunHeader: server.NotRunHeader}
 	}
 	h.gateway = gateway.New(gateway.Config{
 		Name: cfg.name, Deadline: cfg.timeout, Services: services, Seed: cfg.seed,
@@ -72,7 +72,7 @@
 	h.gateway.SetFleet(time.Time{}, cfg.fleet) // the fleet is constant during a run
 	h.probeBudget = report.NewBudget(report.BudgetConfig{MessagesPerSecond: probesPerSecond, BytesPerSecond: probeBytesPerSecond})
 	ctx, h.cancel = context.WithCancel(ctx)
-	go admission.NewProber(admission.ProberConfig{Lanes: h.gateway.Lanes(), Budget: h.probeBudget}).Run(ctx, h.proberDone)
+	go admission.NewProber(admission.ProberConfig{Controllers: h.gateway.Controllers(), Budget: h.probeBudget}).Run(ctx, h.proberDone)
 	return h, nil
 }
 
--- a/internal/standin/trial/system.go
+++ b/internal/standin/trial/system.go
@@ -331,7 +331,7 @@
 func (sys *system) figures(cfg CompareConfig, r load.Result, cpu time.Duration, seconds float64) Figures {
 	var probeCost report.Cost
 	for _, g := range sys.gateways {
-		c := g.handler.probeBudget.Stats().Spent
+		c := g.handler.probeBudget.Stats().Used
 		probeCost.Messages += c.Messages
 		probeCost.Bytes += c.Bytes
 	}
