--- a/internal/control/catalog/catalog.go
+++ b/internal/control/catalog/catalog.go
@@ -87,10 +87,10 @@
 	// Reader reports whether this gateway watches a collection on behalf of its peers;
 	// nil means that it does.
 	Reader func(mustardsaddle.Collection) bool
-	// Spread forwards an update to all peers except the one that sent it; from is
-	// empty for an update that this gateway read from the directory. A nil Spread
+	// Forward forwards an update to all peers except the one that sent it; from is
+	// empty for an update that this gateway read from the directory. A nil Forward
 	// means that there are no peers.
-	Spread func(from string, c mustardsaddle.Collection, u mustardsaddle.Update)
+	Forward func(from string, c mustardsaddle.Collection, u mustardsaddle.Update)
 	// Stale is the age from which this gateway reads the directory itself; 0 means 1.4
 	// s.
 	Stale time.Duration
@@ -139,8 +139,8 @@
 	if cfg.Reader == nil {
 		cfg.Reader = func(mustardsaddle.Collection) bool { return true }
 	}
-	if cfg.Spread == nil {
-		cfg.Spread = func(string, mustardsaddle.Collection, mustardsaddle.Update) {}
+	if cfg.Forward == nil {
+		cfg.Forward = func(string, mustardsaddle.Collection, mustardsaddle.Update) {}
 	}
 	return &Catalog{
 		cfg:     cfg,
@@ -158,7 +158,7 @@
 	for _, collection := range followed {
 		loops = append(loops, func(ctx context.Context) { c.follow(ctx, collection) })
 	}
-	store.RunAll(ctx, loops...)
+	store.RunConcurrently(ctx, loops...)
 }
 
 // Snapshot returns the text and the generation of the rules in force; the generation
@@ -258,8 +258,8 @@
 	if p.historyLost {
 		return ReadWhole, 0, 0
 	}
-	stale := c.cfg.Stale + time.Duration(c.rng.Int64N(int64(staleJitter)))
-	action, pause := Plan(now, State{Revision: p.revision, Fresh: p.freshAt, Reader: reader, Stale: stale})
+	staleAge := c.cfg.Stale + time.Duration(c.rng.Int64N(int64(staleJitter)))
+	action, pause := Plan(now, State{Revision: p.revision, FreshAt: p.freshAt, Reader: reader, StaleAge: staleAge})
 	return action, pause, p.revision
 }
 
@@ -306,7 +306,7 @@
 	if CompareRevision(p.revision, u.After, u.Revision, u.Whole) == Applicable {
 		c.apply(now, collection, u, "Directory")
 	}
-	c.cfg.Spread("", collection, forwardable)
+	c.cfg.Forward("", collection, forwardable)
 }
 
 // Known returns the known revision of a collection and its age.
@@ -320,9 +320,9 @@
 	return mustardsaddle.CollectionState{Revision: p.revision, Age: max(now.Sub(p.freshAt), 0)}
 }
 
-// Heard processes the revision and age that a peer advertises. It returns true if the
-// peer has a newer revision and is to be asked for a snapshot of the collection.
-func (c *Catalog) Heard(now time.Time, collection mustardsaddle.Collection, k mustardsaddle.CollectionState) bool {
+// ReceiveState processes the revision and age that a peer advertises. It returns true
+// if the peer has a newer revision and is to be asked for a snapshot of the collection.
+func (c *Catalog) ReceiveState(now time.Time, collection mustardsaddle.Collection, k mustardsaddle.CollectionState) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := &c.known[collection]
@@ -349,24 +349,24 @@
 	p := &c.known[collection]
 	freshAt := now.Add(-u.Age)
 	forwardable := c.forwardable(collection, u)
-	merge := CompareRevision(p.revision, u.After, u.Revision, u.Whole)
-	if merge == Gap {
+	order := CompareRevision(p.revision, u.After, u.Revision, u.Whole)
+	if order == Gap {
 		return p.shouldRequest(now)
 	}
-	if merge == Outdated && freshAt.Sub(p.freshAt) < confirmInterval {
+	if order == Outdated && freshAt.Sub(p.freshAt) < confirmInterval {
 		return false
 	}
 	// Contact must come first: Core uses the previous contact to distinguish entries
 	// that expired during an outage from entries that were removed.
 	c.servers.Contact(freshAt, freshAt)
-	if merge == Applicable {
+	if order == Applicable {
 		c.apply(now, collection, u, "Peer")
 	}
 	p.historyLost = p.historyLost && u.Revision < p.revision
 	if freshAt.After(p.freshAt) {
 		p.freshAt = freshAt
 	}
-	c.cfg.Spread(from, collection, forwardable)
+	c.cfg.Forward(from, collection, forwardable)
 	return false
 }
 
@@ -426,8 +426,9 @@
 	return true
 }
 
-// Whole returns a snapshot of a collection for a peer, or false if nothing is known.
-func (c *Catalog) Whole(now time.Time, collection mustardsaddle.Collection) (mustardsaddle.Update, bool) {
+// CollectionSnapshot returns a snapshot of a collection for a peer, or false if nothing
+// is known.
+func (c *Catalog) CollectionSnapshot(now time.Time, collection mustardsaddle.Collection) (mustardsaddle.Update, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.known[collection]
@@ -471,7 +472,7 @@
 			Int("Code", int(p.Code)).Str("Problem", p.Text).Send()
 	}
 	c.rules = r
-	c.table = c.table.Next(file.WithGeneration(r.Generation))
+	c.table = c.table.Recompile(file.WithGeneration(r.Generation))
 	c.cfg.InForce(c.table)
 	event.Info(c.cfg.Logger, event.RulesInForce).Int64("Generation", r.Generation).Int64("Revision", revision).
 		Str("Source", source).Send()
--- a/internal/control/catalog/catalog_test.go
+++ b/internal/control/catalog/catalog_test.go
@@ -124,7 +124,7 @@
 		name                   string
 		known, after, revision int64
 		whole                  bool
-		want                   catalog.Merge
+		want                   catalog.RevisionOrder
 	}{
 		{"newer snapshot", 5, 0, 9, true, catalog.Applicable},
 		{"older snapshot", 9, 0, 5, true, catalog.Outdated},
@@ -150,10 +150,10 @@
 		want  catalog.Action
 		pause time.Duration
 	}{
-		{"no known revision", catalog.State{Fresh: now, Stale: stale}, catalog.ReadWhole, 0},
-		{"reader", catalog.State{Revision: 3, Fresh: now, Reader: true, Stale: stale}, catalog.Watch, 0},
-		{"fresh", catalog.State{Revision: 3, Fresh: now.Add(-300 * time.Millisecond), Stale: stale}, catalog.Sleep, 700 * time.Millisecond},
-		{"stale", catalog.State{Revision: 3, Fresh: now.Add(-stale), Stale: stale}, catalog.ReadChanges, 0},
+		{"no known revision", catalog.State{FreshAt: now, StaleAge: stale}, catalog.ReadWhole, 0},
+		{"reader", catalog.State{Revision: 3, FreshAt: now, Reader: true, StaleAge: stale}, catalog.Watch, 0},
+		{"fresh", catalog.State{Revision: 3, FreshAt: now.Add(-300 * time.Millisecond), StaleAge: stale}, catalog.Sleep, 700 * time.Millisecond},
+		{"stale", catalog.State{Revision: 3, FreshAt: now.Add(-stale), StaleAge: stale}, catalog.ReadChanges, 0},
 	} {
 		got, pause := catalog.Plan(now, c.state)
 		if got != c.want || pause != c.pause {
@@ -162,7 +162,7 @@
 	}
 }
 
-// forwarded is an update passed to Config.Spread.
+// forwarded is an update passed to Config.Forward.
 type forwarded struct {
 	from    string
 	updates []mustardsaddle.Update
@@ -175,7 +175,7 @@
 		var servers []mustardsaddle.Server
 		c := catalog.New(catalog.Config{
 			Servers: func(_ time.Time, _ string, list []mustardsaddle.Server) { servers = list },
-			Spread: func(from string, _ mustardsaddle.Collection, u mustardsaddle.Update) {
+			Forward: func(from string, _ mustardsaddle.Collection, u mustardsaddle.Update) {
 				passed = append(passed, forwarded{from: from, updates: []mustardsaddle.Update{u}})
 			},
 		})
@@ -204,13 +204,13 @@
 			convey.So(servers, convey.ShouldHaveLength, 1)
 			convey.So(passed, convey.ShouldBeEmpty)
 			convey.So(c.Receive(now, "other", collection, change), convey.ShouldBeFalse)
-			convey.So(c.Heard(now, collection, mustardsaddle.CollectionState{Revision: 8}), convey.ShouldBeFalse)
+			convey.So(c.ReceiveState(now, collection, mustardsaddle.CollectionState{Revision: 8}), convey.ShouldBeFalse)
 			later := now.Add(time.Second)
-			convey.So(c.Heard(later, collection, mustardsaddle.CollectionState{Revision: 8}), convey.ShouldBeTrue)
-			convey.So(c.Heard(later, collection, mustardsaddle.CollectionState{Revision: 8}), convey.ShouldBeFalse)
+			convey.So(c.ReceiveState(later, collection, mustardsaddle.CollectionState{Revision: 8}), convey.ShouldBeTrue)
+			convey.So(c.ReceiveState(later, collection, mustardsaddle.CollectionState{Revision: 8}), convey.ShouldBeFalse)
 		})
 		convey.Convey("A peer with the same revision and a lower age makes the collection fresher", func() {
-			convey.So(c.Heard(now, collection, mustardsaddle.CollectionState{Revision: 5, Age: 300 * time.Millisecond}), convey.ShouldBeFalse)
+			convey.So(c.ReceiveState(now, collection, mustardsaddle.CollectionState{Revision: 5, Age: 300 * time.Millisecond}), convey.ShouldBeFalse)
 			convey.So(c.Known(now, collection), convey.ShouldResemble, mustardsaddle.CollectionState{Revision: 5, Age: 300 * time.Millisecond})
 		})
 		convey.Convey("A confirmation of the known revision is forwarded only if it is newer", func() {
@@ -230,7 +230,7 @@
 		return mustardsaddle.Machine{Name: name, Service: "Booking", Address: "10.0.0.1:80", Incarnation: 1}
 	}
 	convey.Convey("Given two servers", t, func() {
-		c := catalog.NewCore(catalog.CoreConfig{Return: 2 * time.Second, Outage: 2 * time.Second})
+		c := catalog.NewCore(catalog.CoreConfig{RetainMissing: 2 * time.Second, Outage: 2 * time.Second})
 		c.Contact(start, start)
 		c.Apply(start, mustardsaddle.Update{Whole: true, Revision: 1, Machines: []mustardsaddle.Machine{server("a"), server("b")}})
 		convey.Convey("A server removed while the directory responds is dropped at once", func() {
@@ -274,7 +274,7 @@
 		rulesUpdates := make(chan mustardsaddle.Update, 8)
 		c := catalog.New(catalog.Config{
 			Directory: d, InForce: func(*rule.Table) {}, Servers: func(time.Time, string, []mustardsaddle.Server) {},
-			Spread: func(_ string, collection mustardsaddle.Collection, u mustardsaddle.Update) {
+			Forward: func(_ string, collection mustardsaddle.Collection, u mustardsaddle.Update) {
 				if collection == mustardsaddle.RulesCollection {
 					rulesUpdates <- u
 				}
@@ -305,7 +305,7 @@
 			var passed []mustardsaddle.Update
 			next := catalog.New(catalog.Config{
 				Servers: func(time.Time, string, []mustardsaddle.Server) {},
-				Spread: func(_ string, _ mustardsaddle.Collection, u mustardsaddle.Update) {
+				Forward: func(_ string, _ mustardsaddle.Collection, u mustardsaddle.Update) {
 					passed = append(passed, u)
 				},
 			})
@@ -342,7 +342,7 @@
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		var servers []mustardsaddle.Server
 		c := catalog.New(catalog.Config{
-			Core:    catalog.CoreConfig{Return: 2 * time.Second, Outage: 2 * time.Second},
+			Core:    catalog.CoreConfig{RetainMissing: 2 * time.Second, Outage: 2 * time.Second},
 			Servers: func(_ time.Time, _ string, list []mustardsaddle.Server) { servers = list },
 		})
 		collection := mustardsaddle.ServersCollection
--- a/internal/control/catalog/core.go
+++ b/internal/control/catalog/core.go
@@ -21,8 +21,8 @@
 
 // CoreConfig configures a Core. Zero values select the defaults.
 type CoreConfig struct {
-	// Return is how long an entry that is missing after an outage is retained.
-	Return time.Duration
+	// RetainMissing is how long an entry that is missing after an outage is retained.
+	RetainMissing time.Duration
 	// Outage is the minimum time without a response that counts as an outage.
 	Outage time.Duration
 }
@@ -50,7 +50,7 @@
 
 // NewCore returns a Core without entries.
 func NewCore(cfg CoreConfig) *Core {
-	cfg.Return = cmp.Or(cfg.Return, defaultRetainMissing)
+	cfg.RetainMissing = cmp.Or(cfg.RetainMissing, defaultRetainMissing)
 	cfg.Outage = cmp.Or(cfg.Outage, defaultOutage)
 	return &Core{cfg: cfg, entries: make(map[string]entry)}
 }
@@ -66,7 +66,7 @@
 // Apply applies an update received at now and returns the resulting changes, ordered
 // by name. A VM that is no longer listed is removed at once, unless the directory has
 // just recovered from an outage: entries that expired during the outage are retained
-// until CoreConfig.Return after the recovery.
+// until CoreConfig.RetainMissing after the recovery.
 func (c *Core) Apply(now time.Time, u mustardsaddle.Update) []Change {
 	before := maps.Clone(c.entries)
 	listed := make(map[string]bool, len(u.Machines))
@@ -125,7 +125,7 @@
 	if !known || !e.expiresAt.IsZero() {
 		return
 	}
-	e.expiresAt = c.recoveredAt.Add(c.cfg.Return)
+	e.expiresAt = c.recoveredAt.Add(c.cfg.RetainMissing)
 	c.entries[name] = e
 }
 
--- a/internal/control/catalog/plan.go
+++ b/internal/control/catalog/plan.go
@@ -22,36 +22,38 @@
 type State struct {
 	// Revision is the revision known locally, 0 for none.
 	Revision int64
-	// Fresh is the latest time at which the collection was known to be up to date.
-	Fresh time.Time
+	// FreshAt is the latest time at which the collection was known to be up to
+	// date.
+	FreshAt time.Time
 	// Reader is true if this gateway watches the collection on behalf of its peers.
 	Reader bool
-	// Stale is the age from which a gateway reads the directory even if it is not a
-	// reader.
-	Stale time.Duration
+	// StaleAge is the age from which a gateway reads the directory even if it is
+	// not a reader.
+	StaleAge time.Duration
 }
 
 // Plan returns the next action and, for Sleep, its duration.
 func Plan(now time.Time, s State) (Action, time.Duration) {
-	age := now.Sub(s.Fresh)
+	age := now.Sub(s.FreshAt)
 	switch {
 	case s.Revision == 0:
 		return ReadWhole, 0
 	case s.Reader:
 		return Watch, 0
-	case age >= s.Stale:
+	case age >= s.StaleAge:
 		return ReadChanges, 0
 	default:
-		return Sleep, s.Stale - age
+		return Sleep, s.StaleAge - age
 	}
 }
 
-// Merge is the result of comparing an update with the revision known locally.
-type Merge int
+// RevisionOrder is the result of comparing an update with the revision known
+// locally.
+type RevisionOrder int
 
 const (
 	// Outdated means that the update contains nothing new.
-	Outdated Merge = iota
+	Outdated RevisionOrder = iota
 	// Applicable means that the update can be applied.
 	Applicable
 	// Gap means that changes between the known revision and the update are missing.
@@ -59,7 +61,7 @@
 )
 
 // CompareRevision compares an update with the revision known locally.
-func CompareRevision(known, after, revision int64, whole bool) Merge {
+func CompareRevision(known, after, revision int64, whole bool) RevisionOrder {
 	switch {
 	case revision <= known:
 		return Outdated
--- a/internal/control/registry/core.go
+++ b/internal/control/registry/core.go
@@ -55,7 +55,7 @@
 	Version int64
 	// Value is the value to write.
 	Value []byte
-	// Decision is the decision that the write records; its Handled is false for a
+	// Decision is the decision that the write records; its Processed is false for a
 	// repair.
 	Decision rule.Decision
 }
--- a/internal/control/registry/core_test.go
+++ b/internal/control/registry/core_test.go
@@ -311,7 +311,7 @@
 			},
 			"whole": func(t *rapid.T) {
 				f := m.gateways[m.gateway(t)].File()
-				_, _ = m.gateways[m.gateway(t)].ReceiveWhole(rule.Accepted{File: f}.Format())
+				_, _ = m.gateways[m.gateway(t)].ReceiveSnapshot(rule.Accepted{File: f}.Format())
 			},
 			"replace": func(t *rapid.T) {
 				i := m.gateway(t)
--- a/internal/control/registry/follow.go
+++ b/internal/control/registry/follow.go
@@ -261,7 +261,7 @@
 	f.applyChange(change, changed)
 	switch {
 	case err != nil:
-	case step.Decision.Handled:
+	case step.Decision.Processed:
 		f.logDecision(step.Decision)
 	default:
 		event.Warn(f.cfg.Logger, event.RulesRepaired).Int64("Version", version).
--- a/internal/control/registry/peer.go
+++ b/internal/control/registry/peer.go
@@ -42,8 +42,8 @@
 	c.lastHandled = submission
 }
 
-// ReceiveWhole applies the complete accepted state received from a peer.
-func (c *Core) ReceiveWhole(text string) (rule.Result, error) {
+// ReceiveSnapshot applies the complete accepted state received from a peer.
+func (c *Core) ReceiveSnapshot(text string) (rule.Result, error) {
 	a, err := rule.ParseAccepted(text)
 	if err != nil {
 		return rule.BadDigest, err
--- a/internal/control/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -75,8 +75,8 @@
 	StatusStore mustardsaddle.Store
 	// InForce is called with each new rule table, in the order of generations.
 	InForce func(*rule.Table)
-	// Spread sends a change to the peers.
-	Spread func(rule.Change)
+	// Broadcast sends a change to the peers.
+	Broadcast func(rule.Change)
 	// Rank returns this gateway's position, from 0, among the gateways of the fleet.
 	// It determines the order in which gateways try to accept a submission; the
 	// gateway of rank 0 writes the status reports for all. A nil Rank means 0.
@@ -107,8 +107,8 @@
 	if cfg.InForce == nil {
 		cfg.InForce = func(*rule.Table) {}
 	}
-	if cfg.Spread == nil {
-		cfg.Spread = func(rule.Change) {}
+	if cfg.Broadcast == nil {
+		cfg.Broadcast = func(rule.Change) {}
 	}
 	if cfg.Rank == nil {
 		cfg.Rank = func() int { return 0 }
@@ -160,7 +160,7 @@
 // Run synchronizes with the store until the context ends, then closes done.
 func (g *Registry) Run(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
-	store.RunAll(ctx, g.watch, g.report, g.follow)
+	store.RunConcurrently(ctx, g.watch, g.report, g.follow)
 }
 
 // Generation returns the generation in force, 0 before there is one.
@@ -188,7 +188,7 @@
 	defer g.mu.Unlock()
 	applied, result := g.core.Receive(change)
 	for _, c := range applied {
-		g.cfg.Spread(c)
+		g.cfg.Broadcast(c)
 	}
 	if len(applied) > 0 {
 		g.activate("Peer")
@@ -196,12 +196,12 @@
 	return result
 }
 
-// ReceiveWhole applies the complete rules received from a peer. The result is Applied,
-// Stale, or, with an error, BadDigest.
-func (g *Registry) ReceiveWhole(_ time.Time, text string) (rule.Result, error) {
+// ReceiveSnapshot applies the complete rules received from a peer. The result is
+// Applied, Stale, or, with an error, BadDigest.
+func (g *Registry) ReceiveSnapshot(_ time.Time, text string) (rule.Result, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	result, err := g.core.ReceiveWhole(text)
+	result, err := g.core.ReceiveSnapshot(text)
 	if err != nil {
 		event.Warn(g.cfg.Logger, event.RulesIgnored).Err(err).Send()
 	}
@@ -229,14 +229,14 @@
 	}
 	g.activate("Store")
 	if change.From > 0 {
-		g.cfg.Spread(change)
+		g.cfg.Broadcast(change)
 	}
 }
 
 // activate passes the table of the file now in force to Config.InForce. The caller
 // holds mu.
 func (g *Registry) activate(source string) {
-	g.table = g.table.Next(g.core.File())
+	g.table = g.table.Recompile(g.core.File())
 	g.fileSize = g.table.File.Size()
 	g.cfg.InForce(g.table)
 	event.Info(g.cfg.Logger, event.RulesInForce).Int64("Generation", g.core.File().Generation).Str("Source", source).Send()
--- a/internal/control/registry/registry_test.go
+++ b/internal/control/registry/registry_test.go
@@ -100,7 +100,7 @@
 			objects = stalledWatchStore{Store: m.client}
 		}
 		m.Registry = registry.New(registry.Config{
-			Name: fmt.Sprintf("gateway-%02d", i), Store: objects, StatusStore: m.client.For(store.Status), Seed: uint64(i),
+			Name: fmt.Sprintf("gateway-%02d", i), Store: objects, StatusStore: m.client.WithUse(store.Status), Seed: uint64(i),
 			Rank: func() int {
 				if s.sameRank {
 					return 0
@@ -114,14 +114,14 @@
 				defer m.mu.Unlock()
 				m.generations = append(m.generations, table.File.Generation)
 			},
-			Spread: g.spread(i),
-			Live:   g.live,
+			Broadcast: g.broadcast(i),
+			Live:      g.live,
 		})
 		g.members = append(g.members, m)
 	}
 	for i, m := range g.members {
 		if s.snapshot != "" {
-			_, _ = m.ReceiveWhole(time.Now(), s.snapshot)
+			_, _ = m.ReceiveSnapshot(time.Now(), s.snapshot)
 		}
 		linkDone, runDone := make(chan struct{}), make(chan struct{})
 		go m.link(ctx, linkDone, s.isolated != nil && s.isolated(i))
@@ -150,8 +150,8 @@
 	return vms
 }
 
-// spread returns a function that sends a change to the next three members.
-func (g *testFleet) spread(from int) func(rule.Change) {
+// broadcast returns a function that sends a change to the next three members.
+func (g *testFleet) broadcast(from int) func(rule.Change) {
 	return func(c rule.Change) {
 		for hop := 1; hop <= 3; hop++ {
 			select {
@@ -312,9 +312,9 @@
 		})
 		convey.Convey("Invalid and outdated snapshots change nothing", func() {
 			m := g.members[0]
-			_, err := m.ReceiveWhole(time.Now(), "{}")
+			_, err := m.ReceiveSnapshot(time.Now(), "{}")
 			convey.So(code.Of(err), convey.ShouldEqual, code.StoreBadObject)
-			result, err := m.ReceiveWhole(time.Now(), rule.Accepted{File: fileOf(1)}.Format())
+			result, err := m.ReceiveSnapshot(time.Now(), rule.Accepted{File: fileOf(1)}.Format())
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(result, convey.ShouldEqual, rule.Stale)
 		})
--- a/internal/control/registry/status.go
+++ b/internal/control/registry/status.go
@@ -110,7 +110,7 @@
 
 // upToDate reports whether the last known report already contains the given state.
 func (r *reporter) upToDate(a rule.Accepted, vms []rule.VM) bool {
-	return r.lastReport.Has(a, vms) && len(r.lastReport.WithOnly(r.liveFilter()).VMs) == len(r.lastReport.VMs)
+	return r.lastReport.Covers(a, vms) && len(r.lastReport.FilterVMs(r.liveFilter()).VMs) == len(r.lastReport.VMs)
 }
 
 // read reads the report, which another gateway may have written.
@@ -131,7 +131,7 @@
 }
 
 func (r *reporter) write(ctx context.Context, a rule.Accepted, vms []rule.VM) error {
-	next := r.lastReport.WithAccepted(a).WithVMs(vms).WithOnly(r.liveFilter())
+	next := r.lastReport.WithAccepted(a).WithVMs(vms).FilterVMs(r.liveFilter())
 	text := next.Format()
 	r.reserveBytes(len(text))
 	version, err := r.cfg.StatusStore.Put(ctx, InForceKey, []byte(text), r.version)
--- a/internal/control/registry/work.go
+++ b/internal/control/registry/work.go
@@ -55,13 +55,13 @@
 	var s rule.Submission
 	switch {
 	case code.Of(err) == code.StoreTooLarge:
-		s = rule.LargeSubmission(version)
+		s = rule.OversizedSubmission(version)
 	case err != nil:
 		return err
 	case o.Version == 0 && version == c.newestSubmission:
 		return code.Errorf(code.StoreBadObject, "read %s: the newest version %d is missing", SubmittedKey, version)
 	case o.Version == 0:
-		s = rule.LostSubmission(version)
+		s = rule.MissingSubmission(version)
 	default:
 		s = rule.ParseSubmission(version, string(o.Value))
 	}
--- a/internal/control/roster/neighbor.go
+++ b/internal/control/roster/neighbor.go
@@ -16,11 +16,12 @@
 
 // NeighborConfig configures Neighbors. Zero values select the defaults.
 type NeighborConfig struct {
-	// Across is the average number of links from a VM to other availability zones.
-	Across int
+	// CrossZoneLinks is the average number of links from a VM to other availability
+	// zones.
+	CrossZoneLinks int
 }
 
-const defaultAcross = 2
+const defaultCrossZoneLinks = 2
 
 // redialers is how many gateways keep dialing the address of a VM that has left.
 const redialers = 2
@@ -103,7 +104,7 @@
 //     rendezvous order, and to the VMs at a distance of the square root of the zone's
 //     size, which keeps paths short.
 //   - Every pair of zones is connected by at least two links, between different VMs if
-//     the zones have them. On average a VM has Across links to other zones.
+//     the zones have them. On average a VM has CrossZoneLinks links to other zones.
 //
 // The number of links per VM depends on the number of zones, not on the number of VMs.
 func Neighbors(vms []mustardsaddle.VM, self string, cfg NeighborConfig) []mustardsaddle.VM {
@@ -122,25 +123,25 @@
 	}
 	neighbors := make(map[string]mustardsaddle.VM)
 	addRing(neighbors, rendezvousOrder(zones[localZone], localZone), self)
-	across := cmp.Or(cfg.Across, defaultAcross)
+	crossZoneLinks := cmp.Or(cfg.CrossZoneLinks, defaultCrossZoneLinks)
 	for zone, far := range zones {
 		if zone == localZone {
 			continue
 		}
 		low, high := min(zone, localZone), max(zone, localZone)
 		key := low + "\x00" + high
-		links := pairLinks(len(zones[localZone]), len(far), len(zones)-1, across)
+		links := pairLinks(len(zones[localZone]), len(far), len(zones)-1, crossZoneLinks)
 		addPair(neighbors, rendezvousOrder(zones[localZone], key), rendezvousOrder(far, key), self, links)
 	}
 	delete(neighbors, self)
 	return sorted(neighbors)
 }
 
-// Returning returns those of the VMs, which come from Roster.Peers, that have left and
-// whose addresses self keeps dialing on behalf of the fleet. A gateway that starts at
-// such an address may be unable to reach the platform, and then knows no peers to
-// connect to. Each of these VMs is dialed by redialers live gateways.
-func Returning(vms []mustardsaddle.VM, self string) []mustardsaddle.VM {
+// DepartedToDial returns those of the VMs, which come from Roster.Peers, that have
+// left and whose addresses self keeps dialing on behalf of the fleet. A gateway that
+// starts at such an address may be unable to reach the platform, and then knows no
+// peers to connect to. Each of these VMs is dialed by redialers live gateways.
+func DepartedToDial(vms []mustardsaddle.VM, self string) []mustardsaddle.VM {
 	var dialed []mustardsaddle.VM
 	for _, vm := range vms {
 		if vm.Leaving && vm.Name != self && Rank(vms, self, "Returning/"+vm.Name) < redialers {
@@ -179,9 +180,9 @@
 
 // pairLinks returns the number of links between two zones of the given sizes, if each
 // zone is connected to peers other zones.
-func pairLinks(size, other, peers, across int) int {
+func pairLinks(size, other, peers, crossZoneLinks int) int {
 	small, large := min(size, other), max(size, other)
-	share := (small*across + peers - 1) / peers
+	share := (small*crossZoneLinks + peers - 1) / peers
 	return min(max(share, minPairLinks), large)
 }
 
--- a/internal/control/roster/neighbor_test.go
+++ b/internal/control/roster/neighbor_test.go
@@ -231,7 +231,7 @@
 		}
 		dialers := make(map[string]int)
 		for _, self := range vms {
-			for _, vm := range roster.Returning(vms, self.Name) {
+			for _, vm := range roster.DepartedToDial(vms, self.Name) {
 				if self.Leaving && live >= 2 {
 					t.Fatalf("%s has left and dials %s", self.Name, vm.Name)
 				}
--- a/internal/control/roster/roster_test.go
+++ b/internal/control/roster/roster_test.go
@@ -183,7 +183,7 @@
 		r = r.WithVM(mustardsaddle.VM{Name: "gateway-3", Incarnation: 1, Zone: "b"}).WithPage(start.Add(time.Minute), "", list)
 		convey.So(liveByZone(r), convey.ShouldResemble, map[string]int{"a": 2, "b": 1})
 		convey.Convey("Unreachable ones are not live until they introduce themselves again", func() {
-			r = r.WithSilent("gateway-3").WithSilent("gateway-2").WithPage(start.Add(2*time.Minute), "", list)
+			r = r.WithUnreachable("gateway-3").WithUnreachable("gateway-2").WithPage(start.Add(2*time.Minute), "", list)
 			convey.So(liveByZone(r), convey.ShouldResemble, map[string]int{"a": 1})
 			convey.So(roster.Neighbors(r.Peers(), "gateway-1", roster.NeighborConfig{}), convey.ShouldHaveLength, 1)
 			r = r.WithVM(mustardsaddle.VM{Name: "gateway-2", Incarnation: 1, Zone: "a"})
--- a/internal/control/roster/vm.go
+++ b/internal/control/roster/vm.go
@@ -25,10 +25,10 @@
 	return next
 }
 
-// WithSilent returns the roster after a gateway VM stopped responding on its link and
-// became unreachable. Reachability is this gateway's own view: it is not sent to
-// peers, and WithVM restores it. A VM that is not listed is dropped.
-func (r Roster) WithSilent(name string) Roster {
+// WithUnreachable returns the roster after a gateway VM stopped responding on its
+// link and became unreachable. Reachability is this gateway's own view: it is not
+// sent to peers, and WithVM restores it. A VM that is not listed is dropped.
+func (r Roster) WithUnreachable(name string) Roster {
 	e, known := r.entries[name]
 	if !known || e.Service != "" || r.isUnreachable(e) {
 		return r
--- a/internal/control/rule/accept.go
+++ b/internal/control/rule/accept.go
@@ -34,14 +34,16 @@
 	return Submission{Version: version, File: file, Problems: problems}
 }
 
-// LostSubmission returns a placeholder for a version that the store no longer has.
-func LostSubmission(version int64) Submission {
+// MissingSubmission returns a placeholder for a version that the store no longer
+// has.
+func MissingSubmission(version int64) Submission {
 	p := problemf(code.RuleSubmissionLost, "submission is no longer in the store").atLine(1)
 	return Submission{Version: version, Problems: []Problem{p}}
 }
 
-// LargeSubmission returns a placeholder for a version that is too large to read.
-func LargeSubmission(version int64) Submission {
+// OversizedSubmission returns a placeholder for a version that is too large to
+// read.
+func OversizedSubmission(version int64) Submission {
 	p := problemf(code.RuleTooLarge, "submission is too large to read, want at most %d bytes", MaxFileBytes).atLine(1)
 	return Submission{Version: version, Problems: []Problem{p}}
 }
@@ -54,9 +56,9 @@
 
 // Decision is the outcome of processing a submission.
 type Decision struct {
-	// Handled is false for a submission that was already processed; then there is
+	// Processed is false for a submission that was already processed; then there is
 	// nothing to write.
-	Handled bool
+	Processed bool
 	// Changed is true when the rules, and therefore the generation, change.
 	Changed bool
 	// Next is the new accepted state.
@@ -74,7 +76,7 @@
 	if s.Version <= a.Submission {
 		return Decision{Next: a}
 	}
-	d := Decision{Handled: true, Next: a}
+	d := Decision{Processed: true, Next: a}
 	d.Next.Submission = s.Version
 	d.Next.At = now
 	file, refused := resolve(a, s)
--- a/internal/control/rule/accept_test.go
+++ b/internal/control/rule/accept_test.go
@@ -73,13 +73,13 @@
 		{"invalid file", rule.ParseSubmission(10, "# Generation 4\nPath=/c\n"+lineD), 4, []lineCode{{2, code.RuleMissingField}, {2, code.RuleNoWho}}},
 		{"missing Generation line", rule.ParseSubmission(10, lineC), 4, []lineCode{{1, code.RuleBadGeneration}}},
 		{"unknown base generation", rule.ParseSubmission(10, "# Generation 8\n"+lineC), 4, []lineCode{{1, code.RuleUnknownBase}}},
-		{"no longer in the store", rule.LostSubmission(10), 4, []lineCode{{1, code.RuleSubmissionLost}}},
+		{"no longer in the store", rule.MissingSubmission(10), 4, []lineCode{{1, code.RuleSubmissionLost}}},
 	} {
 		convey.Convey("Given the submission: "+test.name, t, func() {
 			d := rule.Accept(now, accepted, test.submission)
 			convey.So(d.Next.File.Generation, convey.ShouldEqual, test.generation)
 			convey.So(d.Changed, convey.ShouldEqual, test.generation > 4)
-			convey.So(d.Handled, convey.ShouldEqual, test.submission.Version > 9)
+			convey.So(d.Processed, convey.ShouldEqual, test.submission.Version > 9)
 			convey.So(d.Next.Submission, convey.ShouldEqual, test.submission.Version)
 			convey.So(lineCodes(d.Refused), convey.ShouldResemble, test.refused)
 			convey.Convey("The formatted object round-trips", func() {
--- a/internal/control/rule/explain.go
+++ b/internal/control/rule/explain.go
@@ -20,8 +20,8 @@
 	OtherPath
 )
 
-// Step is one rule that Match considers for a request.
-type Step struct {
+// Candidate is one rule that Match considers for a request.
+type Candidate struct {
 	// Line is the line number of the rule in the formatted file, from 1; the
 	// Generation line is line 1.
 	Line int
@@ -33,27 +33,27 @@
 
 // Explain returns the rules in the buckets of the request's host and path prefixes,
 // in the order in which Match considers them.
-func (t *Table) Explain(r *http.Request) []Step {
+func (t *Table) Explain(r *http.Request) []Candidate {
 	if hasDotSegment(r.URL.Path) {
 		return nil
 	}
 	numbers := t.lineNumbers()
-	var steps []Step
+	var candidates []Candidate
 	verdict := Chosen
 	for _, b := range t.bucketsOf(r) {
 		if b == nil {
 			break
 		}
-		for i, candidate := range b.rules {
-			step := Step{Line: numbers[candidate.ID()], Rule: *candidate, Verdict: matchRoute(b.routes[i], r)}
-			if step.Verdict == Chosen {
-				step.Verdict = verdict
+		for i, considered := range b.rules {
+			candidate := Candidate{Line: numbers[considered.ID()], Rule: *considered, Verdict: matchRoute(b.routes[i], r)}
+			if candidate.Verdict == Chosen {
+				candidate.Verdict = verdict
 				verdict = LessSpecific
 			}
-			steps = append(steps, step)
+			candidates = append(candidates, candidate)
 		}
 	}
-	return steps
+	return candidates
 }
 
 // matchRoute returns Chosen if the route matches, and the reason if it does not.
--- a/internal/control/rule/inforce.go
+++ b/internal/control/rule/inforce.go
@@ -88,15 +88,15 @@
 	return strings.Compare(v.Name, name)
 }
 
-// WithOnly returns a copy of f with only the VMs for which keep returns true.
-func (f InForce) WithOnly(keep func(name string) bool) InForce {
+// FilterVMs returns a copy of f with only the VMs for which keep returns true.
+func (f InForce) FilterVMs(keep func(name string) bool) InForce {
 	f.VMs = slices.DeleteFunc(slices.Clone(f.VMs), func(v VM) bool { return !keep(v.Name) })
 	return f
 }
 
-// Has reports whether f is at least as new as the given accepted state and the
+// Covers reports whether f is at least as new as the given accepted state and the
 // given VMs' generations.
-func (f InForce) Has(a Accepted, vms []VM) bool {
+func (f InForce) Covers(a Accepted, vms []VM) bool {
 	if a.Submission > f.Accepted.Submission || a.File.Generation > f.Accepted.File.Generation {
 		return false
 	}
--- a/internal/control/rule/parse.go
+++ b/internal/control/rule/parse.go
@@ -130,8 +130,8 @@
 
 // parseRule parses a rule and returns every error in it.
 func parseRule(s string) (Rule, []Problem) {
-	fields, who, _ := strings.Cut(s, "#")
-	r := Rule{Who: strings.TrimSpace(who)}
+	fields, comment, _ := strings.Cut(s, "#")
+	r := Rule{Comment: strings.TrimSpace(comment)}
 	var problems []Problem
 	seen := make(map[string]bool)
 	for _, field := range strings.Fields(fields) {
@@ -140,7 +140,7 @@
 		}
 	}
 	problems = append(problems, checkFields(seen)...)
-	if !namesRequester(r.Who) {
+	if !namesRequester(r.Comment) {
 		problems = append(problems, problemf(code.RuleNoWho, "rule has no comment that names who requested it and why, want # Who: why"))
 	}
 	return r, problems
--- a/internal/control/rule/rule.go
+++ b/internal/control/rule/rule.go
@@ -44,13 +44,13 @@
 	Connections int
 	// Idle is the idle timeout of callers' connections.
 	Idle time.Duration
-	// Who is the comment that names who requested the rule, and why.
-	Who string
+	// Comment is the comment that names who requested the rule, and why.
+	Comment string
 }
 
-// Routes reports whether the rule routes requests, as opposed to declaring a
+// IsRoute reports whether the rule routes requests, as opposed to declaring a
 // service or the idle timeout.
-func (r Rule) Routes() bool {
+func (r Rule) IsRoute() bool {
 	return r.Path != ""
 }
 
@@ -69,7 +69,7 @@
 
 // ID returns the identity of r.
 func (r Rule) ID() ID {
-	if !r.Routes() {
+	if !r.IsRoute() {
 		return ID{Service: r.Service}
 	}
 	return ID{Host: r.Host, Path: stripParamNames(r.Path), Method: r.Method}
@@ -93,9 +93,9 @@
 	return strings.HasPrefix(segment, "{")
 }
 
-// RepeatOf returns the retry policy of a request with the given method. Without an
-// explicit Repeat only GET, HEAD and OPTIONS may be repeated.
-func (r Rule) RepeatOf(method string) mustardsaddle.Repeat {
+// RepeatPolicy returns the retry policy of a request with the given method. Without
+// an explicit Repeat only GET, HEAD and OPTIONS may be repeated.
+func (r Rule) RepeatPolicy(method string) mustardsaddle.Repeat {
 	if r.RepeatSet {
 		return r.Repeat
 	}
@@ -129,7 +129,7 @@
 	field("Probe", r.Probe)
 	field("Connections", formatInt(r.Connections))
 	field("Idle", formatDuration(r.Idle))
-	b.WriteString("# " + r.Who)
+	b.WriteString("# " + r.Comment)
 	return b.String()
 }
 
--- a/internal/control/rule/rule_bench_test.go
+++ b/internal/control/rule/rule_bench_test.go
@@ -77,7 +77,7 @@
 			if result != rule.Applied {
 				b.Fatal(result)
 			}
-			table.Next(next)
+			table.Recompile(next)
 		}
 		b.ReportMetric(float64(bytes), "wire-bytes/op")
 	})
--- a/internal/control/rule/split_test.go
+++ b/internal/control/rule/split_test.go
@@ -58,10 +58,10 @@
 			convey.So(table.Service("A").Probe, convey.ShouldEqual, "/health")
 			convey.So(table.Service("A").Connections, convey.ShouldEqual, 220)
 			convey.So(table.Service("B"), convey.ShouldResemble, rule.Rule{Service: "B"})
-			convey.So(table.Idle(), convey.ShouldEqual, 15*time.Second)
+			convey.So(table.IdleTimeout(), convey.ShouldEqual, 15*time.Second)
 		})
 		convey.Convey("Requests are distributed by weight", func() {
-			split := table.Split(file.Rules()[2])
+			split := table.TrafficSplit(file.Rules()[2])
 			rng, picked := rand.New(rand.NewPCG(1, 2)), map[string]int{}
 			for range 4000 {
 				picked[split.Pick(rng)]++
--- a/internal/control/rule/table.go
+++ b/internal/control/rule/table.go
@@ -19,14 +19,14 @@
 
 	buckets map[bucketKey]*bucket
 	// splits maps the values of Service to their parsed form.
-	splits map[string]Split
+	splits map[string]TrafficSplit
 	// services maps service names to the rules that declare them.
 	services map[string]Rule
 	idle     time.Duration
 }
 
-// Split returns the weighted services of a rule of this table.
-func (t *Table) Split(r Rule) Split {
+// TrafficSplit returns the weighted services of a rule of this table.
+func (t *Table) TrafficSplit(r Rule) TrafficSplit {
 	return t.splits[r.Service]
 }
 
@@ -39,9 +39,9 @@
 	return Rule{Service: name}
 }
 
-// Idle returns the idle timeout of callers' connections, or 0 if the file does not
-// state it.
-func (t *Table) Idle() time.Duration {
+// IdleTimeout returns the idle timeout of callers' connections, or 0 if the file does
+// not state it.
+func (t *Table) IdleTimeout() time.Duration {
 	return t.idle
 }
 
@@ -64,19 +64,19 @@
 
 // Compile builds the routing table of a rules file.
 func Compile(file File) *Table {
-	return (&Table{}).Next(file)
+	return (&Table{}).Recompile(file)
 }
 
-// Next builds the routing table of another file. Buckets whose rules are unchanged
-// are shared with t.
-func (t *Table) Next(file File) *Table {
+// Recompile builds the routing table of another file. Buckets whose rules are
+// unchanged are shared with t.
+func (t *Table) Recompile(file File) *Table {
 	rules := make(map[bucketKey][]*Rule)
-	next := &Table{File: file, splits: make(map[string]Split), services: make(map[string]Rule)}
+	next := &Table{File: file, splits: make(map[string]TrafficSplit), services: make(map[string]Rule)}
 	for _, l := range file.lines {
 		if l.rule == nil {
 			continue
 		}
-		if !l.rule.Routes() {
+		if !l.rule.IsRoute() {
 			next.declare(*l.rule)
 			continue
 		}
--- a/internal/control/rule/table_test.go
+++ b/internal/control/rule/table_test.go
@@ -50,11 +50,11 @@
 			convey.So(found.Service, convey.ShouldEqual, test.want)
 			convey.So(ok, convey.ShouldEqual, test.want != "")
 			convey.Convey("Explain marks the same rule as chosen", func() {
-				steps := table.Explain(r)
+				candidates := table.Explain(r)
 				chosen := ""
-				for _, s := range steps {
-					if s.Verdict == rule.Chosen {
-						chosen += s.Rule.Service
+				for _, candidate := range candidates {
+					if candidate.Verdict == rule.Chosen {
+						chosen += candidate.Rule.Service
 					}
 				}
 				convey.So(chosen, convey.ShouldEqual, test.want)
@@ -66,14 +66,14 @@
 func TestExplainNamesLinesAndReasons(t *testing.T) {
 	convey.Convey("Given three rules that overlap on a path", t, func() {
 		table := rule.Compile(fileOf(1, "Path=/a/* Service=Rest # Tan: x", "# comment", "Path=/a/b Method=POST Service=Post # Tan: x", "Path=/a/b Service=Exact # Tan: x"))
-		steps := table.Explain(httptest.NewRequest(http.MethodGet, "http://h/a/b", nil))
-		convey.So(len(steps), convey.ShouldEqual, 3)
-		convey.So(steps[0].Line, convey.ShouldEqual, 4)
-		convey.So(steps[0].Verdict, convey.ShouldEqual, rule.OtherMethod)
-		convey.So(steps[1].Line, convey.ShouldEqual, 5)
-		convey.So(steps[1].Verdict, convey.ShouldEqual, rule.Chosen)
-		convey.So(steps[2].Line, convey.ShouldEqual, 2)
-		convey.So(steps[2].Verdict, convey.ShouldEqual, rule.LessSpecific)
+		candidates := table.Explain(httptest.NewRequest(http.MethodGet, "http://h/a/b", nil))
+		convey.So(len(candidates), convey.ShouldEqual, 3)
+		convey.So(candidates[0].Line, convey.ShouldEqual, 4)
+		convey.So(candidates[0].Verdict, convey.ShouldEqual, rule.OtherMethod)
+		convey.So(candidates[1].Line, convey.ShouldEqual, 5)
+		convey.So(candidates[1].Verdict, convey.ShouldEqual, rule.Chosen)
+		convey.So(candidates[2].Line, convey.ShouldEqual, 2)
+		convey.So(candidates[2].Verdict, convey.ShouldEqual, rule.LessSpecific)
 	})
 }
 
@@ -110,7 +110,7 @@
 		path := rapid.SampledFrom([]string{"/", "/a", "/a/", "/a/b", "/a/c", "/c/b", "/b/x/c", "/x/y/z"}).Draw(t, "path")
 		r := httptest.NewRequest(method, "http://"+host+path, nil)
 		found, ok := rule.Compile(file).Match(r)
-		other, _ := rule.Compile(genFile(t, 1)).Next(shuffled).Match(r)
+		other, _ := rule.Compile(genFile(t, 1)).Recompile(shuffled).Match(r)
 		if found != other {
 			t.Fatalf("got rule %v, and with another order of lines %v", found, other)
 		}
--- a/internal/control/store/call.go
+++ b/internal/control/store/call.go
@@ -31,8 +31,8 @@
 	Path string
 	// Header holds the headers sent in addition to those that net/http sets.
 	Header http.Header
-	// Value is the request body.
-	Value []byte
+	// Body is the request body.
+	Body []byte
 	// Wait is how long the platform may hold the request open before it responds. It
 	// extends the client's timeout.
 	Wait time.Duration
@@ -44,8 +44,8 @@
 	Check func(q Request, status int) error
 }
 
-// Answer is a response of the platform with its whole body.
-type Answer struct {
+// Response is a response of the platform with its whole body.
+type Response struct {
 	// Status is the HTTP status.
 	Status int
 	// Header is the response header.
@@ -56,7 +56,7 @@
 
 // Call sends a request if the budget and the circuit breaker allow it. It is exported for
 // clients of platforms whose paths and encodings differ from those of this client.
-func (c *Client) Call(ctx context.Context, q Request) (Answer, error) {
+func (c *Client) Call(ctx context.Context, q Request) (Response, error) {
 	if q.Check == nil {
 		q.Check = checkStatus
 	}
@@ -68,26 +68,26 @@
 		}
 	}
 	if err := c.admit(time.Now(), q.Kind); err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	timeout := c.cfg.Timeout + q.Wait
 	limited, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	a, err := c.send(limited, q)
+	resp, err := c.send(limited, q)
 	if err == nil {
-		err = q.Check(q, a.Status)
+		err = q.Check(q, resp.Status)
 	} else if ctx.Err() == nil {
 		// Other pooled connections may have stopped responding for the same reason.
 		c.http.CloseIdleConnections()
 	}
-	c.finish(time.Now(), err, ctx.Err() != nil, len(a.Body), len(q.Value))
-	return a, err
+	c.finish(time.Now(), err, ctx.Err() != nil, len(resp.Body), len(q.Body))
+	return resp, err
 }
 
-func (c *Client) send(ctx context.Context, q Request) (Answer, error) {
-	r, err := http.NewRequestWithContext(ctx, q.Method, c.cfg.URL+q.Path, bytes.NewReader(q.Value))
+func (c *Client) send(ctx context.Context, q Request) (Response, error) {
+	r, err := http.NewRequestWithContext(ctx, q.Method, c.cfg.URL+q.Path, bytes.NewReader(q.Body))
 	if err != nil {
-		return Answer{}, code.Wrapf(code.StoreRefused, err, "%s %s", q.Method, q.Path)
+		return Response{}, code.Wrapf(code.StoreRefused, err, "%s %s", q.Method, q.Path)
 	}
 	// Without GetBody, the transport does not retry the request on another connection.
 	r.GetBody = nil
@@ -96,17 +96,17 @@
 	}
 	resp, err := c.http.Do(r)
 	if err != nil {
-		return Answer{}, code.Wrapf(code.StoreUnavailable, err, "%s %s", q.Method, q.Path)
+		return Response{}, code.Wrapf(code.StoreUnavailable, err, "%s %s", q.Method, q.Path)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(q.MaxBytes)+1))
 	if err != nil {
-		return Answer{}, code.Wrapf(code.StoreUnavailable, err, "%s %s", q.Method, q.Path)
+		return Response{}, code.Wrapf(code.StoreUnavailable, err, "%s %s", q.Method, q.Path)
 	}
 	if len(body) > q.MaxBytes {
-		return Answer{}, code.Errorf(code.StoreTooLarge, "%s %s: response is larger than %d bytes", q.Method, q.Path, q.MaxBytes)
+		return Response{}, code.Errorf(code.StoreTooLarge, "%s %s: response is larger than %d bytes", q.Method, q.Path, q.MaxBytes)
 	}
-	return Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
+	return Response{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
 
 // checkStatus converts an HTTP status to an error. After a server error it is unknown
--- a/internal/control/store/client.go
+++ b/internal/control/store/client.go
@@ -7,7 +7,7 @@
 //	c := store.New(store.Config{URL: "http://127.0.0.1:7000", Timeout: time.Second})
 //	o, err := c.Get(ctx, "Rules/Accepted")
 //	c.SetFleet(17)
-//	status := c.For(store.Status)
+//	status := c.WithUse(store.Status)
 //
 // Breaker and Budget make the decisions and take the current time as an argument.
 package store
@@ -88,7 +88,7 @@
 	use Use
 }
 
-// core is the state shared by a client and those derived from it with For.
+// core is the state shared by a client and those derived from it with WithUse.
 type core struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
@@ -113,9 +113,9 @@
 	}
 }
 
-// For returns a client for the given use that shares connections, budget, circuit breaker
-// and statistics with c.
-func (c *Client) For(use Use) *Client {
+// WithUse returns a client for the given use that shares connections, budget, circuit
+// breaker and statistics with c.
+func (c *Client) WithUse(use Use) *Client {
 	other := *c
 	other.use = use
 	return &other
@@ -156,21 +156,21 @@
 }
 
 func (c *Client) object(ctx context.Context, q Request, key string, version int64) (mustardsaddle.Object, error) {
-	a, err := c.Call(ctx, q)
+	resp, err := c.Call(ctx, q)
 	if err != nil {
 		return mustardsaddle.Object{}, err
 	}
-	switch a.Status {
+	switch resp.Status {
 	case http.StatusNotFound:
 		return mustardsaddle.Object{Key: key}, nil
 	case http.StatusNotModified:
 		return mustardsaddle.Object{Key: key, Version: version}, nil
 	}
-	current, err := parseETag(a.Header.Get("ETag"))
+	current, err := parseETag(resp.Header.Get("ETag"))
 	if err != nil {
 		return mustardsaddle.Object{}, err
 	}
-	return mustardsaddle.Object{Key: key, Version: current, Value: a.Body}, nil
+	return mustardsaddle.Object{Key: key, Version: current, Value: resp.Body}, nil
 }
 
 // Put writes a value on the condition that the current version is the given one, where 0
@@ -183,11 +183,11 @@
 	if version > 0 {
 		condition = http.Header{"If-Match": {strconv.Quote(strconv.FormatInt(version, 10))}}
 	}
-	a, err := c.Call(ctx, Request{Kind: Writing, Path: objectPath(key), Header: condition, Value: value})
+	resp, err := c.Call(ctx, Request{Kind: Writing, Path: objectPath(key), Header: condition, Body: value})
 	if err != nil {
 		return 0, err
 	}
-	return parseETag(a.Header.Get("ETag"))
+	return parseETag(resp.Header.Get("ETag"))
 }
 
 // List returns the objects whose keys have the given prefix.
@@ -205,26 +205,26 @@
 	if known != "" {
 		header.Set("If-None-Match", known)
 	}
-	a, err := c.Call(ctx, Request{Kind: Reading, Path: path, Header: header})
+	resp, err := c.Call(ctx, Request{Kind: Reading, Path: path, Header: header})
 	if err != nil {
 		return mustardsaddle.Page{}, err
 	}
-	if a.Status == http.StatusNotModified {
+	if resp.Status == http.StatusNotModified {
 		return mustardsaddle.Page{Version: known}, nil
 	}
-	page := mustardsaddle.Page{Version: a.Header.Get("ETag"), Changed: true}
-	if err := json.Unmarshal(a.Body, &page.Machines); err != nil {
+	page := mustardsaddle.Page{Version: resp.Header.Get("ETag"), Changed: true}
+	if err := json.Unmarshal(resp.Body, &page.Machines); err != nil {
 		return mustardsaddle.Page{}, code.Wrapf(code.StoreBadObject, err, "decode %s", path)
 	}
 	return page, nil
 }
 
 func (c *Client) decode(ctx context.Context, path string, v any) error {
-	a, err := c.Call(ctx, Request{Kind: Reading, Path: path})
+	resp, err := c.Call(ctx, Request{Kind: Reading, Path: path})
 	if err != nil {
 		return err
 	}
-	if err := json.Unmarshal(a.Body, v); err != nil {
+	if err := json.Unmarshal(resp.Body, v); err != nil {
 		return code.Wrapf(code.StoreBadObject, err, "decode %s", path)
 	}
 	return nil
--- a/internal/control/store/stats.go
+++ b/internal/control/store/stats.go
@@ -6,7 +6,7 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/code"
 )
 
-// Stats holds the statistics of a Client and of those derived from it with For.
+// Stats holds the statistics of a Client and of those derived from it with WithUse.
 type Stats struct {
 	// Reads, Watches and Writes count the calls sent to the platform.
 	Reads, Watches, Writes int64
--- a/internal/control/store/task.go
+++ b/internal/control/store/task.go
@@ -17,9 +17,9 @@
 	}
 }
 
-// RunAll runs functions concurrently and returns when all have returned. It is used by
-// packages that follow changes in the store with several loops.
-func RunAll(ctx context.Context, tasks ...func(context.Context)) {
+// RunConcurrently runs functions concurrently and returns when all have returned.
+// It is used by packages that follow changes in the store with several loops.
+func RunConcurrently(ctx context.Context, tasks ...func(context.Context)) {
 	done := make(chan struct{})
 	for _, task := range tasks {
 		go func() {
--- a/internal/product/command/explain.go
+++ b/internal/product/command/explain.go
@@ -50,11 +50,11 @@
 		return Failf(Mistakes, "%d mistake(s) in %s", n, c.Rules)
 	}
 	file, _ := rule.Parse(text)
-	steps := rule.Compile(file).Explain(r)
-	if !slices.ContainsFunc(steps, func(s rule.Step) bool { return s.Verdict == rule.Chosen }) {
-		return c.printNoMatch(r, steps, newRuleLines(text))
+	candidates := rule.Compile(file).Explain(r)
+	if !slices.ContainsFunc(candidates, func(candidate rule.Candidate) bool { return candidate.Verdict == rule.Chosen }) {
+		return c.printNoMatch(r, candidates, newRuleLines(text))
 	}
-	c.printMatch(r, steps, newRuleLines(text))
+	c.printMatch(r, candidates, newRuleLines(text))
 	return nil
 }
 
@@ -91,14 +91,14 @@
 }
 
 // printMatch prints the chosen rule and the less specific rules that also match.
-func (c *explain) printMatch(r *http.Request, steps []rule.Step, byID ruleLines) {
-	for _, step := range steps {
-		switch step.Verdict {
+func (c *explain) printMatch(r *http.Request, candidates []rule.Candidate, byID ruleLines) {
+	for _, candidate := range candidates {
+		switch candidate.Verdict {
 		case rule.Chosen:
-			c.print("%s %s matches %s\n", r.Method, r.URL, byID[step.Rule.ID()])
-			c.printFields(r, step.Rule)
+			c.print("%s %s matches %s\n", r.Method, r.URL, byID[candidate.Rule.ID()])
+			c.printFields(r, candidate.Rule)
 		case rule.LessSpecific:
-			c.print("less specific: %s\n", byID[step.Rule.ID()])
+			c.print("less specific: %s\n", byID[candidate.Rule.ID()])
 		default:
 			// The rule does not match.
 		}
@@ -117,7 +117,7 @@
 	c.print("  Deadline  %s\n", deadline)
 	c.print("  Repeat    %s\n", describeRepeat(matched, r.Method))
 	c.printLimits(matched)
-	c.print("  Who       %s\n", matched.Who)
+	c.print("  Who       %s\n", matched.Comment)
 }
 
 // printLimits prints the priority of a rule, and the optional limits that it sets.
@@ -143,7 +143,7 @@
 	if matched.RepeatSet {
 		reason = "by the rule"
 	}
-	switch matched.RepeatOf(method) {
+	switch matched.RepeatPolicy(method) {
 	case mustardsaddle.RepeatYes:
 		return "Yes, " + reason + ": may be retried if an attempt fails"
 	case mustardsaddle.RepeatClaim:
@@ -155,10 +155,10 @@
 
 // printNoMatch prints the rules that differ from the request only in the method, and
 // returns the error with status NoMatch.
-func (c *explain) printNoMatch(r *http.Request, steps []rule.Step, byID ruleLines) error {
-	for _, step := range steps {
-		if step.Verdict == rule.OtherMethod {
-			c.print("with method %s it would match %s\n", step.Rule.Method, byID[step.Rule.ID()])
+func (c *explain) printNoMatch(r *http.Request, candidates []rule.Candidate, byID ruleLines) error {
+	for _, candidate := range candidates {
+		if candidate.Verdict == rule.OtherMethod {
+			c.print("with method %s it would match %s\n", candidate.Rule.Method, byID[candidate.Rule.ID()])
 		}
 	}
 	return Failf(NoMatch, "no rule matches %s %s", r.Method, r.URL)
--- a/internal/product/instance/instance.go
+++ b/internal/product/instance/instance.go
@@ -205,7 +205,7 @@
 	if in.cfg.Directory != nil {
 		return nil
 	}
-	return claim.New(claim.Config{Store: in.store.For(store.Claims)})
+	return claim.New(claim.Config{Store: in.store.WithUse(store.Claims)})
 }
 
 // noneIfZero maps the setting 0, which means none, to -1: in the options of the request
@@ -285,9 +285,9 @@
 // of each gateway that has left, since a gateway that starts there may know no peers.
 func (in *instance) neighbors(r roster.Roster) []mustardsaddle.VM {
 	peers := in.cfg.Settings.Peers
-	vms := roster.Neighbors(r.Peers(), in.self.Name, roster.NeighborConfig{Across: peers.Across})
+	vms := roster.Neighbors(r.Peers(), in.self.Name, roster.NeighborConfig{CrossZoneLinks: peers.Across})
 	if in.catalog != nil {
-		vms = append(vms, roster.Returning(r.Peers(), in.self.Name)...)
+		vms = append(vms, roster.DepartedToDial(r.Peers(), in.self.Name)...)
 	}
 	if len(vms) > 0 {
 		return vms
--- a/internal/product/instance/list.go
+++ b/internal/product/instance/list.go
@@ -44,8 +44,8 @@
 func requiredPages(f rule.File) []string {
 	pages := []string{gatewayPage}
 	for _, r := range f.Rules() {
-		for _, part := range r.Services() {
-			pages = append(pages, part.Service)
+		for _, service := range r.Services() {
+			pages = append(pages, service.Service)
 		}
 	}
 	slices.Sort(pages)
--- a/internal/product/instance/listing.go
+++ b/internal/product/instance/listing.go
@@ -61,7 +61,7 @@
 		}
 	case news.AskListing:
 		c := collectionByFlag(m.Servers)
-		if u, ok := in.catalog.Whole(now, c); ok {
+		if u, ok := in.catalog.CollectionSnapshot(now, c); ok {
 			in.links.Send(from, listingFromUpdate(c, u))
 		}
 	}
@@ -77,7 +77,7 @@
 		mustardsaddle.RulesCollection: theirs.Rules, mustardsaddle.ServersCollection: theirs.Servers,
 	} {
 		k := mustardsaddle.CollectionState{Revision: known.Revision, Age: time.Duration(known.Age) * time.Millisecond}
-		if in.catalog.Heard(now, c, k) {
+		if in.catalog.ReceiveState(now, c, k) {
 			in.links.Send(from, news.AskListing{Servers: c == mustardsaddle.ServersCollection})
 		}
 	}
--- a/internal/product/instance/membership.go
+++ b/internal/product/instance/membership.go
@@ -113,5 +113,5 @@
 
 // markSilent records that a gateway VM has had no link for the silence limit.
 func (m *membership) markSilent(now time.Time, name string) {
-	m.update(now, func(r roster.Roster) roster.Roster { return r.WithSilent(name) })
+	m.update(now, func(r roster.Roster) roster.Roster { return r.WithUnreachable(name) })
 }
--- a/internal/product/instance/rules.go
+++ b/internal/product/instance/rules.go
@@ -18,9 +18,9 @@
 	return registry.New(registry.Config{
 		Name:        in.self.Name,
 		Store:       in.store,
-		StatusStore: in.store.For(store.Status),
+		StatusStore: in.store.WithUse(store.Status),
 		InForce:     in.applyRules,
-		Spread:      in.floodRuleChange,
+		Broadcast:   in.floodRuleChange,
 		Rank: func() int {
 			return roster.Rank(in.membership.Roster().VMs(), in.self.Name, registry.SubmittedKey)
 		},
@@ -90,6 +90,6 @@
 		in.sendRules(from, m.Have)
 	case news.WholeRules:
 		// The registry logs a file that it rejects.
-		_, _ = in.registry.ReceiveWhole(now, m.Text)
+		_, _ = in.registry.ReceiveSnapshot(now, m.Text)
 	}
 }
--- a/internal/request/admission/lane.go
+++ b/internal/request/admission/lane.go
@@ -288,7 +288,7 @@
 	if connections == 0 {
 		return math.MaxInt
 	}
-	return max(slot.Connections(connections, int(c.controllers.gateways.Load()))-connection.IdlePerHost, 1)
+	return max(slot.Connections(connections, int(c.controllers.gateways.Load()))-connection.MaxIdlePerServer, 1)
 }
 
 // dispatchQueued expires queued calls whose wait is over, then assigns servers to the
@@ -330,11 +330,11 @@
 }
 
 // RecentlyIdle reports whether a connection to the server became idle within
-// connection.AliveWindow, and so is likely to be still open.
+// connection.LivenessWindow, and so is likely to be still open.
 func (c *Controller) RecentlyIdle(now time.Time, server string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now.Sub(c.idleAt[server]) < connection.AliveWindow
+	return now.Sub(c.idleAt[server]) < connection.LivenessWindow
 }
 
 // Finish records the result of an attempt, releases its slot and assigns servers to
--- a/internal/request/admission/question.go
+++ b/internal/request/admission/question.go
@@ -116,7 +116,7 @@
 // fetchHeader sends a load request without retrying it, and returns the response
 // header. It reads a short body so that the connection can be reused.
 func fetchHeader(t *http.Transport, r *http.Request) (http.Header, error) {
-	connection.NeverResend(r)
+	connection.DisableResend(r)
 	resp, err := t.RoundTrip(r)
 	if err != nil {
 		return nil, err
--- a/internal/request/connection/transport.go
+++ b/internal/request/connection/transport.go
@@ -19,11 +19,11 @@
 	keepAliveInterval = 5 * time.Second
 )
 
-// AliveWindow is how long after a response a connection is assumed to be alive.
-const AliveWindow = 100 * time.Millisecond
+// LivenessWindow is how long after a response a connection is assumed to be alive.
+const LivenessWindow = 100 * time.Millisecond
 
-// IdlePerHost is the number of idle connections that are kept for each server.
-const IdlePerHost = 4
+// MaxIdlePerServer is the number of idle connections that are kept for each server.
+const MaxIdlePerServer = 4
 
 // TransportConfig configures a transport.
 type TransportConfig struct {
@@ -49,17 +49,17 @@
 		},
 		DisableCompression:     true,
 		DisableKeepAlives:      !cfg.Reuse,
-		MaxIdleConnsPerHost:    IdlePerHost,
+		MaxIdleConnsPerHost:    MaxIdlePerServer,
 		IdleConnTimeout:        cfg.IdleTimeout,
 		ExpectContinueTimeout:  expectContinueTimeout,
 		MaxResponseHeaderBytes: maxResponseHeaderBytes,
 	}
 }
 
-// NeverResend replaces the body of a request without one by an empty body of
+// DisableResend replaces the body of a request without one by an empty body of
 // unknown length, which stops http.Transport from resending the request by itself.
 // The transfer encoding "identity" keeps it from announcing a chunked body.
-func NeverResend(out *http.Request) {
+func DisableResend(out *http.Request) {
 	out.Body, out.ContentLength = io.NopCloser(bytes.NewReader(nil)), -1
 	out.TransferEncoding = []string{"identity"}
 }
--- a/internal/request/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -134,7 +134,7 @@
 	}
 	a.conn, a.reused = cn, info.Reused
 	a.writesBefore, a.readsBefore = cn.Writes(), cn.Reads()
-	if a.policy == aliveConnection && info.IdleTime > connection.AliveWindow {
+	if a.policy == aliveConnection && info.IdleTime > connection.LivenessWindow {
 		a.stale = true
 		cn.BlockWrites()
 	}
--- a/internal/request/gateway/body.go
+++ b/internal/request/gateway/body.go
@@ -65,7 +65,7 @@
 	out.TransferEncoding = nil
 	switch {
 	case b.empty && reuse:
-		connection.NeverResend(out)
+		connection.DisableResend(out)
 	case b.empty:
 		out.Body, out.ContentLength = http.NoBody, 0
 	case b.buffered != nil:
--- a/internal/request/gateway/call.go
+++ b/internal/request/gateway/call.go
@@ -204,7 +204,7 @@
 // request may use any. A request that runs at most once needs a new connection, or
 // one that was alive a moment ago: if that one breaks all the same, the outcome is
 // Unknown as on a new one, and nothing is resent. POST, PUT and PATCH without a
-// body state "Content-Length: 0" and need a new connection, because NeverResend
+// body state "Content-Length: 0" and need a new connection, because DisableResend
 // hides that length.
 func (c *call) connectionPolicy(assigned admission.Assignment) connectionPolicy {
 	switch c.r.Method {
--- a/internal/request/gateway/manner.go
+++ b/internal/request/gateway/manner.go
@@ -9,6 +9,6 @@
 	// anyConnection permits any idle connection of the pool.
 	anyConnection
 	// aliveConnection permits an idle connection that returned a response within
-	// connection.AliveWindow.
+	// connection.LivenessWindow.
 	aliveConnection
 )
--- a/internal/request/gateway/match.go
+++ b/internal/request/gateway/match.go
@@ -48,7 +48,7 @@
 		return matchResult{}, refusal.NotRun(code.CallNoRule)
 	}
 	m := matchResult{
-		rule: found, generation: table.File.Generation, repeat: found.RepeatOf(r.Method), controller: g.controllers.Get(g.pickService(table.Split(found))),
+		rule: found, generation: table.File.Generation, repeat: found.RepeatPolicy(r.Method), controller: g.controllers.Get(g.pickService(table.TrafficSplit(found))),
 		deadline: cmp.Or(found.Deadline, g.cfg.Deadline), attempts: cmp.Or(found.Attempts, g.cfg.MaxAttempts),
 	}
 	if m.controller == nil {
@@ -61,7 +61,7 @@
 }
 
 // pickService selects the service of one call by weight.
-func (g *Gateway) pickService(s rule.Split) string {
+func (g *Gateway) pickService(s rule.TrafficSplit) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return s.Pick(g.rng)
--- a/internal/request/gateway/server.go
+++ b/internal/request/gateway/server.go
@@ -55,8 +55,8 @@
 
 // callerIdleTimeout returns how long a caller's idle connection is kept.
 func (g *Gateway) callerIdleTimeout() time.Duration {
-	if table := g.rules.Load(); table != nil && table.Idle() > 0 {
-		return min(table.Idle(), connection.MaxIdleTimeout)
+	if table := g.rules.Load(); table != nil && table.IdleTimeout() > 0 {
+		return min(table.IdleTimeout(), connection.MaxIdleTimeout)
 	}
 	return defaultCallerIdleTimeout
 }
