--- a/cmd/mustardsaddle/leaving_test.go
+++ b/cmd/mustardsaddle/leaving_test.go
@@ -56,7 +56,7 @@
 			name: "the list shows it to one gateway only, which informs its peers",
 			leave: func(s *system, e *endpoint) {
 				for _, g := range s.gateways[1:] {
-					g.storeRelay.Set(relay.Fault{Refuse: true})
+					g.storeRelay.SetFault(relay.Fault{Refuse: true})
 					g.storeRelay.Reset()
 				}
 				listAsLeaving(s, e)
--- a/cmd/mustardsaddle/main.go
+++ b/cmd/mustardsaddle/main.go
@@ -34,8 +34,8 @@
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
-	ctx, abort := command.Stops(context.Background(), signals)
-	serve := func(ctx context.Context, g command.Gateway) error {
+	ctx, abort := command.StopSignals(context.Background(), signals)
+	serve := func(ctx context.Context, g command.GatewayConfig) error {
 		cfg := instance.Config{Settings: g.Settings, Reloads: g.Reloads, Logger: g.Logger, Abort: abort}
 		if g.Settings.Platform.Kind == settings.KindDirectory {
 			cfg.Directory = func(c *store.Client) mustardsaddle.Directory { return platform.New(c) }
--- a/cmd/mustardsaddle/soak_fault_test.go
+++ b/cmd/mustardsaddle/soak_fault_test.go
@@ -265,7 +265,7 @@
 	if active[soak.LinkDelayed] > 0 {
 		f.Delay = soakAddedDelay
 	}
-	r.Set(f)
+	r.SetFault(f)
 }
 
 // updateStoreFault adds (delta 1) or removes (delta -1) a fault of the store,
--- a/internal/base/settings/settings.go
+++ b/internal/base/settings/settings.go
@@ -176,19 +176,19 @@
 	Connections  int
 }
 
-// Complete returns a copy of the servers, in which the settings replace slots and
-// connections that the platform's list does not state.
-func (v Service) Complete(servers []mustardsaddle.Server) []mustardsaddle.Server {
-	complete := slices.Clone(servers)
-	for i := range complete {
-		if complete[i].Slots == 0 {
-			complete[i].Slots = v.Slots
+// WithDefaults returns a copy of the servers, in which the settings replace slots
+// and connections that the platform's list does not state.
+func (v Service) WithDefaults(servers []mustardsaddle.Server) []mustardsaddle.Server {
+	completed := slices.Clone(servers)
+	for i := range completed {
+		if completed[i].Slots == 0 {
+			completed[i].Slots = v.Slots
 		}
-		if complete[i].Connections == 0 {
-			complete[i].Connections = v.Connections
+		if completed[i].Connections == 0 {
+			completed[i].Connections = v.Connections
 		}
 	}
-	return complete
+	return completed
 }
 
 // Log configures logging.
@@ -276,8 +276,8 @@
 	return s
 }
 
-// Changed returns the names of the sections in which s differs from old.
-func (s Settings) Changed(old Settings) []string {
+// ChangedSections returns the names of the sections in which s differs from old.
+func (s Settings) ChangedSections(old Settings) []string {
 	sections := []struct {
 		name     string
 		new, old any
--- a/internal/base/settings/settings_test.go
+++ b/internal/base/settings/settings_test.go
@@ -166,10 +166,10 @@
 		})
 		convey.Convey("Its values replace what the platform's list does not state", func() {
 			listed := []mustardsaddle.Server{{Name: "a"}, {Name: "b", Slots: 8, Connections: 50}}
-			complete := s.Service("Booking").Complete(listed)
-			convey.So(complete[0].Slots, convey.ShouldEqual, 4)
-			convey.So(complete[0].Connections, convey.ShouldEqual, 200)
-			convey.So(complete[1], convey.ShouldResemble, listed[1])
+			completed := s.Service("Booking").WithDefaults(listed)
+			convey.So(completed[0].Slots, convey.ShouldEqual, 4)
+			convey.So(completed[0].Connections, convey.ShouldEqual, 200)
+			convey.So(completed[1], convey.ShouldResemble, listed[1])
 			convey.So(listed[0].Slots, convey.ShouldEqual, 0)
 		})
 		convey.Convey("WithService does not modify the original", func() {
--- a/internal/peer/link/conn.go
+++ b/internal/peer/link/conn.go
@@ -28,7 +28,7 @@
 
 // handshake exchanges Hello messages on a new connection.
 func (l *Links) handshake(ctx context.Context, conn *websocket.Conn, dialed bool) (*link, error) {
-	ctx, cancel := context.WithTimeout(ctx, l.timing.Silence)
+	ctx, cancel := context.WithTimeout(ctx, l.timing.SilenceTimeout)
 	defer cancel()
 	conn.SetReadLimit(news.MaxBytes)
 	if err := l.writeMessage(ctx, conn, news.Hello{VM: l.cfg.Self, Summary: l.cfg.Summary()}); err != nil {
@@ -86,7 +86,7 @@
 }
 
 // run sends and receives on the link until it fails, nothing is received for
-// Timing.Silence, or the context ends.
+// Timing.SilenceTimeout, or the context ends.
 func (lk *link) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -131,7 +131,7 @@
 
 // flush sends the queued messages.
 func (lk *link) flush(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, lk.owner.timing.Silence)
+	ctx, cancel := context.WithTimeout(ctx, lk.owner.timing.SilenceTimeout)
 	defer cancel()
 	for {
 		m, ok := lk.queue.take()
@@ -145,7 +145,7 @@
 }
 
 // sendHeartbeat sends a heartbeat. It returns an error instead if nothing has been
-// received for Timing.Silence.
+// received for Timing.SilenceTimeout.
 func (lk *link) sendHeartbeat(ctx context.Context, now time.Time) error {
 	if last := time.Unix(0, lk.lastReceived.Load()); lk.owner.timing.isSilent(now, last) {
 		event.Warn(lk.owner.cfg.Logger, event.LinkSilent).Str("Peer", lk.hello.VM.Name).
@@ -153,7 +153,7 @@
 		lk.owner.counts.timedOut.Add(1)
 		return code.Errorf(code.PeerUnavailable, "link to %s: nothing received for %v", lk.hello.VM.Name, now.Sub(last))
 	}
-	ctx, cancel := context.WithTimeout(ctx, lk.owner.timing.Silence)
+	ctx, cancel := context.WithTimeout(ctx, lk.owner.timing.SilenceTimeout)
 	defer cancel()
 	return lk.owner.writeMessage(ctx, lk.conn, news.Heartbeat{Summary: lk.owner.cfg.Summary()})
 }
--- a/internal/peer/link/keeper.go
+++ b/internal/peer/link/keeper.go
@@ -144,8 +144,8 @@
 		}
 		if n.isLost(now, m.timing) {
 			n.lossReported = true
-			if m.cfg.Lost != nil {
-				m.cfg.Lost(now, n.name)
+			if m.cfg.OnNeighborLost != nil {
+				m.cfg.OnNeighborLost(now, n.name)
 			}
 		}
 		m.neighbors[key] = n
@@ -154,8 +154,8 @@
 }
 
 // closeUnwanted closes the links that this gateway dialed to peers that have not
-// been neighbors for unwantedLinkSilences times Timing.Silence. A link that the peer
-// dialed stays up, since this gateway may still be a neighbor of the peer.
+// been neighbors for unwantedLinkSilences times Timing.SilenceTimeout. A link that
+// the peer dialed stays up, since this gateway may still be a neighbor of the peer.
 func (m *manager) closeUnwanted(now time.Time) {
 	wanted := make(map[string]bool, len(m.neighbors))
 	for _, n := range m.neighbors {
@@ -173,7 +173,7 @@
 			m.unwantedSince[name] = now
 			continue
 		}
-		if now.Sub(since) >= unwantedLinkSilences*m.timing.Silence {
+		if now.Sub(since) >= unwantedLinkSilences*m.timing.SilenceTimeout {
 			_ = lk.conn.CloseNow()
 		}
 	}
@@ -181,7 +181,7 @@
 
 // dial opens a connection to a neighbor and performs the handshake.
 func (m *manager) dial(ctx context.Context, key, address string) handshakeResult {
-	dialCtx, cancel := context.WithTimeout(ctx, m.timing.Silence)
+	dialCtx, cancel := context.WithTimeout(ctx, m.timing.SilenceTimeout)
 	defer cancel()
 	conn, _, err := websocket.Dial(dialCtx, "ws://"+address+Path, &websocket.DialOptions{HTTPClient: m.client}) //nolint:bodyclose // Dial closes the body.
 	if err != nil {
--- a/internal/peer/link/link.go
+++ b/internal/peer/link/link.go
@@ -13,7 +13,7 @@
 //
 // # Usage
 //
-//	links := link.New(link.Config{Self: vm, Summary: summary, Receive: receive, Lost: lost})
+//	links := link.New(link.Config{Self: vm, Summary: summary, Receive: receive, OnNeighborLost: onLost})
 //	links.Mount(router)
 //	go func() { ended <- links.Run(ctx) }()
 //	links.SetNeighbors(roster.Neighbors(r.Peers(), vm.Name, roster.NeighborConfig{}))
@@ -55,9 +55,10 @@
 	// may call Send and Broadcast, and must not block, since the link reads nothing
 	// meanwhile.
 	Receive func(now time.Time, from string, msg news.Message)
-	// Lost, if set, is called when a neighbor has had no link for Timing.Silence. A
-	// later Hello from the neighbor shows that it is reachable again.
-	Lost func(now time.Time, name string)
+	// OnNeighborLost, if set, is called when a neighbor has had no link for
+	// Timing.SilenceTimeout. A later Hello from the neighbor shows that it is
+	// reachable again.
+	OnNeighborLost func(now time.Time, name string)
 	// Timing holds the intervals and timeouts of links.
 	Timing Timing
 	// MaxInboundLinks bounds the connections that peers may open, including those
@@ -83,7 +84,8 @@
 	SentMessages, SentBytes, ReceivedMessages, ReceivedBytes int64
 	// Dials counts attempts to connect.
 	Dials int64
-	// TimedOut counts links closed because nothing was received for Timing.Silence.
+	// TimedOut counts links closed because nothing was received for
+	// Timing.SilenceTimeout.
 	TimedOut int64
 	// Dropped counts messages dropped from full queues.
 	Dropped int64
--- a/internal/peer/link/link_test.go
+++ b/internal/peer/link/link_test.go
@@ -36,7 +36,7 @@
 const maxPropagationTime = 5 * time.Second
 
 func fastTiming() link.Timing {
-	return link.Timing{Heartbeat: 100 * time.Millisecond, Silence: 500 * time.Millisecond, MaxBackoff: 200 * time.Millisecond}
+	return link.Timing{Heartbeat: 100 * time.Millisecond, SilenceTimeout: 500 * time.Millisecond, MaxBackoff: 200 * time.Millisecond}
 }
 
 // node is a minimal gateway: of the rules it holds only the generation number, which
@@ -68,7 +68,7 @@
 	n.vm.Peer = listener.Addr().String()
 	n.relay = news.NewRelay(news.RelayConfig{})
 	n.links = link.New(link.Config{
-		Self: n.vm, Summary: n.summary, Receive: n.receive, Lost: n.onLost, Timing: timing, Logger: zerolog.Nop(),
+		Self: n.vm, Summary: n.summary, Receive: n.receive, OnNeighborLost: n.onLost, Timing: timing, Logger: zerolog.Nop(),
 		MaxQueuedMessages: 16, MaxInboundLinks: maxInboundLinks,
 	})
 	router := mux.NewRouter()
@@ -116,7 +116,7 @@
 	n.received = append(n.received, msg)
 	switch m := msg.(type) {
 	case news.Hello:
-		n.relay.Forget(from)
+		n.relay.ResetPeer(from)
 		n.requestMissing(now, from, m.Summary)
 	case news.Heartbeat:
 		n.requestMissing(now, from, m.Summary)
@@ -125,7 +125,7 @@
 	case news.WholeRules:
 		n.generation = max(n.generation, m.Generation)
 	case news.RuleChange:
-		n.links.SendAll(n.relay.Targets(from, m, n.generation, n.links.Peers()), m)
+		n.links.SendAll(n.relay.ForwardTargets(from, m, n.generation, n.links.Peers()), m)
 		n.generation = max(n.generation, m.To)
 	}
 }
@@ -292,7 +292,7 @@
 }
 
 func TestBadMessages(t *testing.T) {
-	timing := link.Timing{Heartbeat: 100 * time.Millisecond, Silence: waitTimeout}
+	timing := link.Timing{Heartbeat: 100 * time.Millisecond, SilenceTimeout: waitTimeout}
 	convey.Convey("Given a link to a peer that sends invalid messages", t, func() {
 		n := newNode(t, "gateway-a", "1", timing)
 		conn := dialAsPeer(t, n)
@@ -342,7 +342,7 @@
 
 func TestTooManyLinks(t *testing.T) {
 	convey.Convey("Given a gateway with the maximum number of inbound connections, all before the handshake", t, func() {
-		n := newNode(t, "gateway-a", "1", link.Timing{Heartbeat: 100 * time.Millisecond, Silence: waitTimeout})
+		n := newNode(t, "gateway-a", "1", link.Timing{Heartbeat: 100 * time.Millisecond, SilenceTimeout: waitTimeout})
 		for range maxInboundLinks {
 			conn, _, err := websocket.Dial(context.Background(), "ws://"+n.vm.Peer+link.Path, nil)
 			convey.So(err, convey.ShouldBeNil)
--- a/internal/peer/link/schedule.go
+++ b/internal/peer/link/schedule.go
@@ -8,15 +8,16 @@
 
 const (
 	defaultHeartbeat = time.Second
-	// defaultSilenceHeartbeats is the default of Timing.Silence, in heartbeats.
+	// defaultSilenceHeartbeats is the default of Timing.SilenceTimeout, in
+	// heartbeats.
 	defaultSilenceHeartbeats = 3
-	// stableLinkSilences is the age, in multiples of Timing.Silence, from which a
-	// link counts as stable.
+	// stableLinkSilences is the age, in multiples of Timing.SilenceTimeout, from
+	// which a link counts as stable.
 	stableLinkSilences = 3
 	defaultMinBackoff  = 100 * time.Millisecond
 	defaultMaxBackoff  = 5 * time.Second
 	// unwantedLinkSilences is how long a link to a peer that is no longer a neighbor
-	// stays up, in multiples of Timing.Silence.
+	// stays up, in multiples of Timing.SilenceTimeout.
 	unwantedLinkSilences = 3
 	// ticksPerHeartbeat is how often per heartbeat the event loop checks which
 	// neighbors are due or lost.
@@ -32,9 +33,9 @@
 type Timing struct {
 	// Heartbeat is the time between heartbeats on a link.
 	Heartbeat time.Duration
-	// Silence is the time without a received frame after which a link is closed. It
-	// also is the timeout of dials, handshakes and writes.
-	Silence time.Duration
+	// SilenceTimeout is the time without a received frame after which a link is
+	// closed. It also is the timeout of dials, handshakes and writes.
+	SilenceTimeout time.Duration
 	// MinBackoff is the maximum delay after the first failure.
 	MinBackoff time.Duration
 	// MaxBackoff is the maximum delay after any number of failures.
@@ -43,7 +44,7 @@
 
 func (t Timing) withDefaults() Timing {
 	t.Heartbeat = cmp.Or(t.Heartbeat, defaultHeartbeat)
-	t.Silence = cmp.Or(t.Silence, defaultSilenceHeartbeats*t.Heartbeat)
+	t.SilenceTimeout = cmp.Or(t.SilenceTimeout, defaultSilenceHeartbeats*t.Heartbeat)
 	t.MinBackoff = cmp.Or(t.MinBackoff, defaultMinBackoff)
 	t.MaxBackoff = cmp.Or(t.MaxBackoff, defaultMaxBackoff)
 	return t
@@ -52,7 +53,7 @@
 // isSilent reports whether a link whose last frame was received at last has timed
 // out.
 func (t Timing) isSilent(now, last time.Time) bool {
-	return now.Sub(last) >= t.Silence
+	return now.Sub(last) >= t.SilenceTimeout
 }
 
 // backoff returns the delay before the next dial after the given number of
@@ -143,7 +144,7 @@
 // first waits half a heartbeat longer.
 func (n neighbor) withEnd(now time.Time, t Timing, rng *rand.Rand) neighbor {
 	n.failures++
-	if now.Sub(n.stateSince) >= stableLinkSilences*t.Silence {
+	if now.Sub(n.stateSince) >= stableLinkSilences*t.SilenceTimeout {
 		n.failures = 0
 	}
 	n.linked = false
@@ -158,7 +159,7 @@
 // isLost reports whether the neighbor is to be reported as lost: it has had no link
 // for as long as a silent link is kept open.
 func (n neighbor) isLost(now time.Time, t Timing) bool {
-	return !n.linked && !n.lossReported && now.Sub(n.stateSince) >= t.Silence
+	return !n.linked && !n.lossReported && now.Sub(n.stateSince) >= t.SilenceTimeout
 }
 
 // linkID holds what decides between two links to the same VM.
--- a/internal/peer/news/news.go
+++ b/internal/peer/news/news.go
@@ -26,12 +26,12 @@
 //	case news.Marks:
 //		next := roster.WithMarks(now, m.Marks)
 //		fresh := news.Marks{Marks: next.MarksSince(roster)}
-//		send(relay.Targets(from, fresh, generation, links), fresh)
+//		send(relay.ForwardTargets(from, fresh, generation, links), fresh)
 //	case news.Hello:
-//		relay.Forget(from)
-//		gap := relay.Compare(now, from, own, m.Summary)
+//		relay.ResetPeer(from)
+//		actions := relay.Compare(now, from, own, m.Summary)
 //	case news.Heartbeat:
-//		gap := relay.Compare(now, from, own, m.Summary)
+//		actions := relay.Compare(now, from, own, m.Summary)
 //	}
 package news
 
--- a/internal/peer/news/relay.go
+++ b/internal/peer/news/relay.go
@@ -51,8 +51,9 @@
 	marksSentAt  time.Time
 }
 
-// Gap states what a gateway has to do after it compared its summary with a peer's.
-type Gap struct {
+// SyncActions states what a gateway has to do after it compared its summary with a
+// peer's.
+type SyncActions struct {
 	// AskRules is true if the peer has newer rules, which are to be requested.
 	AskRules bool
 	// SendMarks is true if the marks differ and all own marks are to be sent.
@@ -71,17 +72,17 @@
 	}
 }
 
-// Targets returns the links on which a message is forwarded. From is the peer that
-// sent it, or empty for a message that originates here. Generation is the
+// ForwardTargets returns the links on which a message is forwarded. From is the peer
+// that sent it, or empty for a message that originates here. Generation is the
 // generation in force before the message is applied.
 //
 // Marks and VMs are forwarded on every link except the one they arrived on. The
 // caller must pass only entries that were new to it: nothing else ends the flood. A
 // rule change is forwarded once, whether or not it applies to the rules in force
 // here, unless these already have its resulting generation or a higher one. For all
-// other messages Targets returns no links: they are meant for their receiver alone
-// or, as Generations and Listing, are forwarded without a Relay.
-func (r *Relay) Targets(from string, msg Message, generation int64, links []string) []string {
+// other messages ForwardTargets returns no links: they are meant for their receiver
+// alone or, as Generations and Listing, are forwarded without a Relay.
+func (r *Relay) ForwardTargets(from string, msg Message, generation int64, links []string) []string {
 	switch m := msg.(type) {
 	case Marks:
 		if len(m.Marks) == 0 {
@@ -122,25 +123,25 @@
 
 // Compare returns what to do after a peer sent its summary. The peer makes the
 // same comparison, so that each side obtains what it lacks.
-func (r *Relay) Compare(now time.Time, from string, own, theirs Summary) Gap {
+func (r *Relay) Compare(now time.Time, from string, own, theirs Summary) SyncActions {
 	state := r.peers[from]
-	var gap Gap
+	var actions SyncActions
 	if theirs.Generation > own.Generation && now.Sub(state.rulesAskedAt) >= r.cfg.MinAskInterval {
-		gap.AskRules = true
+		actions.AskRules = true
 		state.rulesAskedAt = now
 	}
 	if theirs.MarksDigest != own.MarksDigest && now.Sub(state.marksSentAt) >= r.cfg.MinMarksInterval {
-		gap.SendMarks = true
+		actions.SendMarks = true
 		state.marksSentAt = now
 	}
-	if gap != (Gap{}) {
+	if actions != (SyncActions{}) {
 		r.peers[from] = state
 	}
-	return gap
+	return actions
 }
 
-// Forget discards the state of a peer. It is called for each Hello, so that the
+// ResetPeer discards the state of a peer. It is called for each Hello, so that the
 // minimum intervals do not delay the first requests over a new link.
-func (r *Relay) Forget(peer string) {
+func (r *Relay) ResetPeer(peer string) {
 	delete(r.peers, peer)
 }
--- a/internal/peer/news/relay_test.go
+++ b/internal/peer/news/relay_test.go
@@ -51,7 +51,7 @@
 				reached[d.msg.To] = make(map[string]bool)
 			}
 			reached[d.msg.To][d.to] = true
-			for _, peer := range relays[d.to].Targets(d.from, d.msg, 1, links[d.to]) {
+			for _, peer := range relays[d.to].ForwardTargets(d.from, d.msg, 1, links[d.to]) {
 				forwarded++
 				inFlight = append(inFlight, delivery{d.to, peer, d.msg})
 			}
@@ -70,22 +70,22 @@
 		relay := news.NewRelay(news.RelayConfig{})
 		links := []string{"a", "b", "c"}
 		convey.Convey("Marks are forwarded to all peers except the sender, and an empty message to none", func() {
-			convey.So(relay.Targets("b", news.Marks{Marks: []mustardsaddle.Mark{mark}}, 0, links), convey.ShouldResemble, []string{"a", "c"})
-			convey.So(relay.Targets("b", news.Marks{}, 0, links), convey.ShouldBeEmpty)
+			convey.So(relay.ForwardTargets("b", news.Marks{Marks: []mustardsaddle.Mark{mark}}, 0, links), convey.ShouldResemble, []string{"a", "c"})
+			convey.So(relay.ForwardTargets("b", news.Marks{}, 0, links), convey.ShouldBeEmpty)
 		})
 		convey.Convey("A rule change is forwarded once, and not at all if its generation is in force", func() {
-			convey.So(relay.Targets("", change, change.From, links), convey.ShouldResemble, links)
-			convey.So(relay.Targets("a", change, change.From, links), convey.ShouldBeEmpty)
+			convey.So(relay.ForwardTargets("", change, change.From, links), convey.ShouldResemble, links)
+			convey.So(relay.ForwardTargets("a", change, change.From, links), convey.ShouldBeEmpty)
 			other := news.RuleChange{From: 1, To: 2}
-			convey.So(relay.Targets("a", other, 2, links), convey.ShouldBeEmpty)
+			convey.So(relay.ForwardTargets("a", other, 2, links), convey.ShouldBeEmpty)
 		})
 		convey.Convey("A rule change with a very high generation does not block a later one with a lower generation", func() {
-			convey.So(relay.Targets("a", news.RuleChange{From: 1, To: 1 << 62}, 1, links), convey.ShouldHaveLength, 2)
-			convey.So(relay.Targets("a", news.RuleChange{From: 1, To: 2}, 1, links), convey.ShouldHaveLength, 2)
+			convey.So(relay.ForwardTargets("a", news.RuleChange{From: 1, To: 1 << 62}, 1, links), convey.ShouldHaveLength, 2)
+			convey.So(relay.ForwardTargets("a", news.RuleChange{From: 1, To: 2}, 1, links), convey.ShouldHaveLength, 2)
 		})
 		convey.Convey("Messages meant for their receiver alone are not forwarded", func() {
 			for _, msg := range []news.Message{hello, news.Heartbeat{}, news.AskRules{}, news.WholeRules{}, news.Unknown{}} {
-				convey.So(relay.Targets("a", msg, 0, links), convey.ShouldBeEmpty)
+				convey.So(relay.ForwardTargets("a", msg, 0, links), convey.ShouldBeEmpty)
 			}
 		})
 	})
@@ -95,18 +95,18 @@
 	convey.Convey("Given a peer with newer rules and different marks", t, func() {
 		relay := news.NewRelay(news.RelayConfig{})
 		own, theirs := news.Summary{Generation: 1}, news.Summary{Generation: 2, MarksDigest: 9}
-		compare := func(d time.Duration) news.Gap { return relay.Compare(start.Add(d), "a", own, theirs) }
-		convey.So(compare(0), convey.ShouldResemble, news.Gap{AskRules: true, SendMarks: true})
-		convey.So(compare(900*time.Millisecond), convey.ShouldResemble, news.Gap{})
-		convey.So(compare(time.Second), convey.ShouldResemble, news.Gap{AskRules: true})
-		convey.So(compare(5*time.Second), convey.ShouldResemble, news.Gap{AskRules: true, SendMarks: true})
+		compare := func(d time.Duration) news.SyncActions { return relay.Compare(start.Add(d), "a", own, theirs) }
+		convey.So(compare(0), convey.ShouldResemble, news.SyncActions{AskRules: true, SendMarks: true})
+		convey.So(compare(900*time.Millisecond), convey.ShouldResemble, news.SyncActions{})
+		convey.So(compare(time.Second), convey.ShouldResemble, news.SyncActions{AskRules: true})
+		convey.So(compare(5*time.Second), convey.ShouldResemble, news.SyncActions{AskRules: true, SendMarks: true})
 		convey.Convey("After its link is re-established, it is asked without delay", func() {
-			relay.Forget("a")
-			convey.So(compare(5*time.Second), convey.ShouldResemble, news.Gap{AskRules: true, SendMarks: true})
+			relay.ResetPeer("a")
+			convey.So(compare(5*time.Second), convey.ShouldResemble, news.SyncActions{AskRules: true, SendMarks: true})
 		})
 		convey.Convey("A peer with the same or older rules and equal marks causes no action", func() {
-			convey.So(relay.Compare(start, "b", theirs, theirs), convey.ShouldResemble, news.Gap{})
-			convey.So(relay.Compare(start, "b", theirs, news.Summary{MarksDigest: 9}), convey.ShouldResemble, news.Gap{})
+			convey.So(relay.Compare(start, "b", theirs, theirs), convey.ShouldResemble, news.SyncActions{})
+			convey.So(relay.Compare(start, "b", theirs, news.Summary{MarksDigest: 9}), convey.ShouldResemble, news.SyncActions{})
 		})
 	})
 }
--- a/internal/peer/news/told.go
+++ b/internal/peer/news/told.go
@@ -13,36 +13,36 @@
 	Generation int64
 }
 
-// Told tracks which generation each gateway VM is known to have in force, and which
-// entries are still to be forwarded. Entries of one VM merge by maximum, so the
-// order of their arrival does not matter, and forwarding ends when every gateway
-// has the same entries. It is not safe for concurrent use.
-type Told struct {
+// GenerationTracker tracks which generation each gateway VM is known to have in
+// force, and which entries are still to be forwarded. Entries of one VM merge by
+// maximum, so the order of their arrival does not matter, and forwarding ends when
+// every gateway has the same entries. It is not safe for concurrent use.
+type GenerationTracker struct {
 	generations map[string]int64
 	pending     map[string]bool
 }
 
-// NewTold returns a Told without entries.
-func NewTold() *Told {
-	return &Told{generations: make(map[string]int64), pending: make(map[string]bool)}
+// NewGenerationTracker returns a GenerationTracker without entries.
+func NewGenerationTracker() *GenerationTracker {
+	return &GenerationTracker{generations: make(map[string]int64), pending: make(map[string]bool)}
 }
 
-// Learn merges the reported generation of a VM. Generation 0 means that the VM has
+// Merge merges the reported generation of a VM. Generation 0 means that the VM has
 // no rules in force.
-func (t *Told) Learn(name string, generation int64) {
+func (t *GenerationTracker) Merge(name string, generation int64) {
 	if generation > t.generations[name] {
 		t.generations[name] = generation
 		t.pending[name] = true
 	}
 }
 
-// Of returns the generation of a VM, 0 if unknown.
-func (t *Told) Of(name string) int64 {
+// Generation returns the generation of a VM, 0 if unknown.
+func (t *GenerationTracker) Generation(name string) int64 {
 	return t.generations[name]
 }
 
-// Keep removes the VMs for which live returns false.
-func (t *Told) Keep(live func(name string) bool) {
+// Retain removes the VMs for which live returns false.
+func (t *GenerationTracker) Retain(live func(name string) bool) {
 	for name := range t.generations {
 		if !live(name) {
 			delete(t.generations, name)
@@ -51,8 +51,9 @@
 	}
 }
 
-// Fresh returns the entries that changed since the last call, ordered by name.
-func (t *Told) Fresh() []Generation {
+// TakeChanged returns the entries that changed since the last call, ordered by
+// name.
+func (t *GenerationTracker) TakeChanged() []Generation {
 	var changed []Generation
 	for name := range t.pending {
 		changed = append(changed, Generation{Name: name, Generation: t.generations[name]})
--- a/internal/peer/news/told_test.go
+++ b/internal/peer/news/told_test.go
@@ -15,14 +15,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 12).Draw(t, "VMs")
 		name := func(i int) string { return fmt.Sprintf("gateway-%d", i) }
-		trackers := make([]*news.Told, n)
+		trackers := make([]*news.GenerationTracker, n)
 		for i := range trackers {
-			trackers[i] = news.NewTold()
-			trackers[i].Learn(name(i), int64(i+1))
+			trackers[i] = news.NewGenerationTracker()
+			trackers[i].Merge(name(i), int64(i+1))
 		}
-		learn := func(at int, vms []news.Generation) {
+		merge := func(at int, vms []news.Generation) {
 			for _, g := range vms {
-				trackers[at].Learn(g.Name, g.Generation)
+				trackers[at].Merge(g.Name, g.Generation)
 			}
 		}
 		order := rapid.SliceOfN(rapid.IntRange(0, n-1), 0, 50).Draw(t, "Order")
@@ -32,16 +32,16 @@
 			}
 		}
 		for _, i := range order {
-			fresh := trackers[i].Fresh()
-			learn((i+1)%n, fresh)
-			learn((i+n-1)%n, fresh)
+			changed := trackers[i].TakeChanged()
+			merge((i+1)%n, changed)
+			merge((i+n-1)%n, changed)
 		}
 		for i := range trackers {
-			if fresh := trackers[i].Fresh(); len(fresh) > 0 {
-				t.Fatalf("%s still has %v to forward", name(i), fresh)
+			if changed := trackers[i].TakeChanged(); len(changed) > 0 {
+				t.Fatalf("%s still has %v to forward", name(i), changed)
 			}
 			for j := range trackers {
-				if got := trackers[i].Of(name(j)); got != int64(j+1) {
+				if got := trackers[i].Generation(name(j)); got != int64(j+1) {
 					t.Fatalf("%s has generation %d for %s, want %d", name(i), got, name(j), j+1)
 				}
 			}
--- a/internal/product/command/check.go
+++ b/internal/product/command/check.go
@@ -31,7 +31,7 @@
 		return err
 	}
 	if c.Settings == "" && c.Rules == "" {
-		return Failf(Usage, "check needs --settings FILE, --rules FILE or both")
+		return StatusErrorf(Usage, "check needs --settings FILE, --rules FILE or both")
 	}
 	n := 0
 	if c.Settings != "" {
@@ -46,7 +46,7 @@
 		n += printRules(c.cfg.Out, c.Rules, problems)
 	}
 	if n > 0 {
-		return Failf(Mistakes, "%d mistake(s) found", n)
+		return StatusErrorf(Mistakes, "%d mistake(s) found", n)
 	}
 	return nil
 }
@@ -80,12 +80,12 @@
 func readRules(path string) (string, []rule.Problem, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return "", nil, Failf(Failed, "can't read rules: %v", err)
+		return "", nil, StatusErrorf(Failed, "can't read rules: %v", err)
 	}
 	defer func() { _ = f.Close() }()
 	text, err := io.ReadAll(io.LimitReader(f, store.MaxValueBytes+1))
 	if err != nil {
-		return "", nil, Failf(Failed, "can't read rules: %v", err)
+		return "", nil, StatusErrorf(Failed, "can't read rules: %v", err)
 	}
 	_, problems := rule.Parse(string(text))
 	return string(text), problems, nil
--- a/internal/product/command/command.go
+++ b/internal/product/command/command.go
@@ -67,11 +67,11 @@
 	// Hangup delivers the signals on which serve reloads the settings file.
 	Hangup <-chan os.Signal
 	// Serve runs a gateway until the context ends.
-	Serve func(ctx context.Context, g Gateway) error
+	Serve func(ctx context.Context, g GatewayConfig) error
 }
 
-// Gateway configures the gateway that serve runs.
-type Gateway struct {
+// GatewayConfig configures the gateway that serve runs.
+type GatewayConfig struct {
 	// Settings are the validated settings.
 	Settings settings.Settings
 	// Reloads delivers new settings, also validated, after a reload.
--- a/internal/product/command/command_test.go
+++ b/internal/product/command/command_test.go
@@ -44,7 +44,7 @@
 // starts logs one line and returns the error serve.
 func run(dir, line string, serve error) (status command.Status, stdout, stderr string) {
 	var out, err bytes.Buffer
-	cfg := command.Config{Out: &out, Err: &err, Serve: func(_ context.Context, g command.Gateway) error {
+	cfg := command.Config{Out: &out, Err: &err, Serve: func(_ context.Context, g command.GatewayConfig) error {
 		event.Info(g.Logger, event.Started).Str("Zone", g.Settings.Gateway.Zone).Send()
 		return serve
 	}}
--- a/internal/product/command/explain.go
+++ b/internal/product/command/explain.go
@@ -47,7 +47,7 @@
 	}
 	if len(problems) > 0 {
 		n := printRules(c.cfg.Err, c.Rules, problems)
-		return Failf(Mistakes, "%d mistake(s) in %s", n, c.Rules)
+		return StatusErrorf(Mistakes, "%d mistake(s) in %s", n, c.Rules)
 	}
 	file, _ := rule.Parse(text)
 	candidates := rule.Compile(file).Explain(r)
@@ -62,16 +62,16 @@
 // or an error with status Usage if either is invalid.
 func newRequest(method, address string) (*http.Request, error) {
 	if !httpguts.ValidHeaderFieldName(method) || strings.ToUpper(method) != method {
-		return nil, Failf(Usage, "got method %q, want one such as GET or POST", method)
+		return nil, StatusErrorf(Usage, "got method %q, want one such as GET or POST", method)
 	}
 	u, err := url.Parse(address)
 	if err != nil {
-		return nil, Failf(Usage, "got URL %q, want a path or an http URL: %v", address, err)
+		return nil, StatusErrorf(Usage, "got URL %q, want a path or an http URL: %v", address, err)
 	}
 	isPath := u.Scheme == "" && u.Host == ""
 	isAbsolute := (u.Scheme == "http" || u.Scheme == "https") && u.Hostname() != ""
 	if !isPath && !isAbsolute || !strings.HasPrefix(u.Path, "/") {
-		return nil, Failf(Usage, "got URL %q, want a path such as /rosters or a URL such as http://sheds.example/rosters", address)
+		return nil, StatusErrorf(Usage, "got URL %q, want a path such as /rosters or a URL such as http://sheds.example/rosters", address)
 	}
 	return &http.Request{Method: method, URL: u, Host: u.Host, Header: http.Header{}}, nil
 }
@@ -161,7 +161,7 @@
 			c.print("with method %s it would match %s\n", candidate.Rule.Method, byID[candidate.Rule.ID()])
 		}
 	}
-	return Failf(NoMatch, "no rule matches %s %s", r.Method, r.URL)
+	return StatusErrorf(NoMatch, "no rule matches %s %s", r.Method, r.URL)
 }
 
 func (c *explain) print(format string, args ...any) {
--- a/internal/product/command/parser.go
+++ b/internal/product/command/parser.go
@@ -68,15 +68,15 @@
 	error
 }
 
-// Failf returns an error with which the process exits with the given status.
-func Failf(status Status, format string, args ...any) error {
+// StatusErrorf returns an error with which the process exits with the given status.
+func StatusErrorf(status Status, format string, args ...any) error {
 	return statusError{status: status, error: errors.Errorf(format, args...)}
 }
 
 // NoArguments returns an error with status Usage if there are arguments left over.
 func NoArguments(args []string) error {
 	if len(args) > 0 {
-		return Failf(Usage, "got argument %q, want none; try --help", args[0])
+		return StatusErrorf(Usage, "got argument %q, want none; try --help", args[0])
 	}
 	return nil
 }
--- a/internal/product/command/serve.go
+++ b/internal/product/command/serve.go
@@ -41,7 +41,7 @@
 	s, problems := settings.Load(c.Settings)
 	if len(problems) > 0 {
 		n := printSettings(c.cfg.Err, c.Settings, problems)
-		return Failf(Mistakes, "%d mistake(s) in %s", n, c.Settings)
+		return StatusErrorf(Mistakes, "%d mistake(s) in %s", n, c.Settings)
 	}
 	ctx, cancel := context.WithCancel(context.WithoutCancel(c.ctx))
 	log := event.NewWriter(ctx, event.WriterConfig{Out: c.cfg.Out, Gateway: s.Gateway.Name})
@@ -50,7 +50,7 @@
 	reloaderDone := make(chan struct{})
 	reloaderCtx, stopReloader := context.WithCancel(ctx)
 	go r.run(reloaderCtx, reloaderDone)
-	err := c.cfg.Serve(c.ctx, Gateway{Settings: s, Reloads: r.out, Logger: logger})
+	err := c.cfg.Serve(c.ctx, GatewayConfig{Settings: s, Reloads: r.out, Logger: logger})
 	stopReloader()
 	<-reloaderDone
 	cancel()
--- a/internal/product/command/signal.go
+++ b/internal/product/command/signal.go
@@ -5,10 +5,10 @@
 	"os"
 )
 
-// Stops returns a context that is canceled by the first signal or when ctx ends, and a
-// channel that is closed by the second signal. The goroutine that waits for the signals
-// ends with ctx or after the second signal.
-func Stops(ctx context.Context, signals <-chan os.Signal) (stop context.Context, abort <-chan struct{}) {
+// StopSignals returns a context that is canceled by the first signal or when ctx ends,
+// and a channel that is closed by the second signal. The goroutine that waits for the
+// signals ends with ctx or after the second signal.
+func StopSignals(ctx context.Context, signals <-chan os.Signal) (stop context.Context, abort <-chan struct{}) {
 	stop, cancel := context.WithCancel(ctx)
 	aborted := make(chan struct{})
 	go func() {
--- a/internal/product/command/signal_test.go
+++ b/internal/product/command/signal_test.go
@@ -16,7 +16,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		signals := make(chan os.Signal, 2)
-		stop, abort := command.Stops(ctx, signals)
+		stop, abort := command.StopSignals(ctx, signals)
 		convey.So(stop.Err(), convey.ShouldBeNil)
 		convey.Convey("The first signal stops it, and the second one aborts it", func() {
 			signals <- syscall.SIGTERM
--- a/internal/product/command/trace.go
+++ b/internal/product/command/trace.go
@@ -69,7 +69,7 @@
 		_, _ = fmt.Fprintf(c.cfg.Err, "skipped %d line(s) that are not log lines of a gateway\n", tr.skipped)
 	}
 	if tr.found == 0 {
-		return Failf(NoMatch, "no log line names request %s", tr.request)
+		return StatusErrorf(NoMatch, "no log line names request %s", tr.request)
 	}
 	return nil
 }
@@ -82,7 +82,7 @@
 	for _, path := range c.Args.Files {
 		f, err := os.Open(path)
 		if err != nil {
-			return Failf(Failed, "can't read log: %v", err)
+			return StatusErrorf(Failed, "can't read log: %v", err)
 		}
 		err = tr.scan(path, f)
 		_ = f.Close()
@@ -100,7 +100,7 @@
 		tr.handleLine(lines.Text())
 	}
 	if err := lines.Err(); err != nil {
-		return Failf(Failed, "can't read %s: %v", name, err)
+		return StatusErrorf(Failed, "can't read %s: %v", name, err)
 	}
 	return nil
 }
--- a/internal/product/instance/directory.go
+++ b/internal/product/instance/directory.go
@@ -39,7 +39,7 @@
 // completeServers fills in the fields of servers that the directory leaves out, from
 // the settings of the service.
 func (in *instance) completeServers(service string, servers []mustardsaddle.Server) []mustardsaddle.Server {
-	return in.cfg.Settings.Service(service).Complete(servers)
+	return in.cfg.Settings.Service(service).WithDefaults(servers)
 }
 
 // newChooser returns a chooser with the configured policy, one for each service.
--- a/internal/product/instance/harness_test.go
+++ b/internal/product/instance/harness_test.go
@@ -123,7 +123,7 @@
 	started := make(chan instance.Addresses, 1)
 	go func() {
 		g.ended <- instance.Run(ctx, instance.Config{
-			Settings: cfg, Logger: zerolog.New(io.Discard), Started: func(a instance.Addresses) { started <- a },
+			Settings: cfg, Logger: zerolog.New(io.Discard), OnStarted: func(a instance.Addresses) { started <- a },
 		})
 	}()
 	select {
--- a/internal/product/instance/instance.go
+++ b/internal/product/instance/instance.go
@@ -58,9 +58,9 @@
 	// Directory, if set, returns the directory that supplies the rules and the lists
 	// of VMs in place of the platform's store.
 	Directory func(*store.Client) mustardsaddle.Directory
-	// Started, if set, is called with the listen addresses once the servers and the
+	// OnStarted, if set, is called with the listen addresses once the servers and the
 	// control plane have started.
-	Started func(Addresses)
+	OnStarted func(Addresses)
 }
 
 // Addresses are the addresses that an instance listens on.
@@ -107,7 +107,7 @@
 	// mu guards relay and fleetGenerations.
 	mu               sync.Mutex
 	relay            *news.Relay
-	fleetGenerations *news.Told
+	fleetGenerations *news.GenerationTracker
 }
 
 // Run serves until the context ends, then shuts down gracefully. It returns an error
@@ -137,7 +137,7 @@
 		self:             mustardsaddle.VM{Name: s.Gateway.Name, Incarnation: incarnation, Zone: s.Gateway.Zone, Peer: peer},
 		metrics:          admin.NewMetrics(admin.MetricsConfig{}),
 		relay:            news.NewRelay(news.RelayConfig{}),
-		fleetGenerations: news.NewTold(),
+		fleetGenerations: news.NewGenerationTracker(),
 		rng:              rand.New(rand.NewPCG(seed, 1)),
 	}
 	in.current.Store(&s)
@@ -268,7 +268,7 @@
 func (in *instance) rosterChanged(now time.Time, old, r roster.Roster) {
 	for _, service := range r.Services() {
 		if !slices.Equal(old.Servers(service), r.Servers(service)) {
-			in.gateway.SetServers(now, service, in.cfg.Settings.Service(service).Complete(r.Servers(service)))
+			in.gateway.SetServers(now, service, in.cfg.Settings.Service(service).WithDefaults(r.Servers(service)))
 		}
 	}
 	if slices.Equal(old.VMs(), r.VMs()) {
--- a/internal/product/instance/membership.go
+++ b/internal/product/instance/membership.go
@@ -111,7 +111,7 @@
 	m.update(now, func(r roster.Roster) roster.Roster { return r.WithVM(vm) })
 }
 
-// markSilent records that a gateway VM has had no link for the silence limit.
-func (m *membership) markSilent(now time.Time, name string) {
+// markUnreachable records that a gateway VM has had no link for the silence limit.
+func (m *membership) markUnreachable(now time.Time, name string) {
 	m.update(now, func(r roster.Roster) roster.Roster { return r.WithUnreachable(name) })
 }
--- a/internal/product/instance/peers.go
+++ b/internal/product/instance/peers.go
@@ -15,13 +15,13 @@
 func (in *instance) newLinks(seed uint64) *link.Links {
 	s := in.cfg.Settings
 	return link.New(link.Config{
-		Self:    in.self,
-		Summary: in.summary,
-		Receive: in.receive,
-		Lost:    in.membership.markSilent,
-		Timing:  link.Timing{Heartbeat: s.Peers.Heartbeat, Silence: s.Peers.Silent},
-		Seed:    seed,
-		Logger:  in.cfg.Logger,
+		Self:           in.self,
+		Summary:        in.summary,
+		Receive:        in.receive,
+		OnNeighborLost: in.membership.markUnreachable,
+		Timing:         link.Timing{Heartbeat: s.Peers.Heartbeat, SilenceTimeout: s.Peers.Silent},
+		Seed:           seed,
+		Logger:         in.cfg.Logger,
 	})
 }
 
@@ -43,7 +43,7 @@
 	switch m := msg.(type) {
 	case news.Hello:
 		in.mu.Lock()
-		in.relay.Forget(from)
+		in.relay.ResetPeer(from)
 		in.mu.Unlock()
 		in.handleHello(now, from, m)
 	case news.Heartbeat:
@@ -57,7 +57,7 @@
 	case news.Machines:
 		in.floodNew(from, in.membership.applyMachines(now, m.Machines))
 	case news.Generations:
-		in.learnGenerations(m)
+		in.mergeGenerations(m)
 	case news.Listing, news.AskListing:
 		in.receiveDirectoryMessage(now, from, msg)
 	case news.RuleChange, news.AskRules, news.WholeRules:
@@ -84,14 +84,14 @@
 func (in *instance) reconcile(now time.Time, from string, theirs news.Summary) {
 	own := in.summary()
 	in.mu.Lock()
-	in.fleetGenerations.Learn(from, theirs.Generation)
-	gap := in.relay.Compare(now, from, own, theirs)
+	in.fleetGenerations.Merge(from, theirs.Generation)
+	actions := in.relay.Compare(now, from, own, theirs)
 	in.mu.Unlock()
 	in.requestNewerCollections(now, from, theirs)
-	if gap.AskRules {
+	if actions.AskRules {
 		in.links.Send(from, news.AskRules{Have: own.Generation})
 	}
-	if gap.SendMarks {
+	if actions.SendMarks {
 		for _, part := range news.SplitMarks(in.membership.Roster().Marks()) {
 			in.links.Send(from, part)
 		}
@@ -118,7 +118,7 @@
 // that was in force before the message was applied.
 func (in *instance) flood(from string, generation int64, msg news.Message) {
 	in.mu.Lock()
-	targets := in.relay.Targets(from, msg, generation, in.links.Peers())
+	targets := in.relay.ForwardTargets(from, msg, generation, in.links.Peers())
 	in.mu.Unlock()
 	in.links.SendAll(targets, msg)
 }
--- a/internal/product/instance/reload.go
+++ b/internal/product/instance/reload.go
@@ -32,8 +32,8 @@
 	in.gateway.SetRetryBudget(now, booking.Bounds{Share: s.Retry.RetryShare, Slack: s.Retry.Slack})
 	next := old.WithMeasuring(s.Measuring).WithRetry(s.Retry).WithStop(s.Stop)
 	in.current.Store(&next)
-	event.Info(in.cfg.Logger, event.SettingsReloaded).Strs("InForce", next.Changed(old)).
-		Strs("AfterRestart", s.Changed(next)).Send()
+	event.Info(in.cfg.Logger, event.SettingsReloaded).Strs("InForce", next.ChangedSections(old)).
+		Strs("AfterRestart", s.ChangedSections(next)).Send()
 }
 
 // probeRates returns the configured limits of the budget of probes and load queries.
--- a/internal/product/instance/serve.go
+++ b/internal/product/instance/serve.go
@@ -66,8 +66,8 @@
 	components := in.startControl(controlCtx)
 	a := l.addresses()
 	event.Info(in.cfg.Logger, event.Started).Str("Listen", a.Callers).Str("Admin", a.Admin).Str("Peer", a.Peer).Send()
-	if in.cfg.Started != nil {
-		in.cfg.Started(a)
+	if in.cfg.OnStarted != nil {
+		in.cfg.OnStarted(a)
 	}
 	var runErr error
 	select {
--- a/internal/product/instance/told.go
+++ b/internal/product/instance/told.go
@@ -42,17 +42,17 @@
 	}
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.fleetGenerations.Learn(in.self.Name, in.generation.Load())
-	in.fleetGenerations.Keep(func(name string) bool { return live[name] })
-	return in.fleetGenerations.Fresh()
+	in.fleetGenerations.Merge(in.self.Name, in.generation.Load())
+	in.fleetGenerations.Retain(func(name string) bool { return live[name] })
+	return in.fleetGenerations.TakeChanged()
 }
 
-// learnGenerations stores the generations of gateway VMs that a peer has sent.
-func (in *instance) learnGenerations(m news.Generations) {
+// mergeGenerations merges the generations of gateway VMs that a peer has sent.
+func (in *instance) mergeGenerations(m news.Generations) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	for _, vm := range m.VMs {
-		in.fleetGenerations.Learn(vm.Name, vm.Generation)
+		in.fleetGenerations.Merge(vm.Name, vm.Generation)
 	}
 }
 
@@ -63,7 +63,7 @@
 	var vms []rule.VM
 	for _, vm := range in.membership.Roster().VMs() {
 		if !vm.Leaving {
-			vms = append(vms, rule.VM{Name: vm.Name, Generation: in.fleetGenerations.Of(vm.Name)})
+			vms = append(vms, rule.VM{Name: vm.Name, Generation: in.fleetGenerations.Generation(vm.Name)})
 		}
 	}
 	return vms
--- a/internal/standin/command/load.go
+++ b/internal/standin/command/load.go
@@ -52,7 +52,7 @@
 	}
 	result, err := load.Run(c.env.ctx, cfg)
 	if err != nil {
-		return command.Failf(command.Usage, "%v", err)
+		return command.StatusErrorf(command.Usage, "%v", err)
 	}
 	if c.JSON {
 		enc := json.NewEncoder(c.env.cfg.Out)
@@ -72,7 +72,7 @@
 	for _, target := range c.Target {
 		u, err := url.Parse(target)
 		if err != nil || u.Scheme != "http" || u.Host == "" || u.Path != "" {
-			return cfg, command.Failf(command.Usage, "got --target %q, want a base URL such as http://127.0.0.1:8001", target)
+			return cfg, command.StatusErrorf(command.Usage, "got --target %q, want a base URL such as http://127.0.0.1:8001", target)
 		}
 	}
 	for _, text := range c.Stream {
@@ -83,7 +83,7 @@
 		cfg.Streams = append(cfg.Streams, stream)
 	}
 	if c.Work < 0 || c.Delay < 0 || c.Timeout <= 0 || c.Warmup < 0 {
-		return cfg, command.Failf(command.Usage, "got --work %v --delay %v --timeout %v --warmup %v, want none below 0 and a timeout above 0",
+		return cfg, command.StatusErrorf(command.Usage, "got --work %v --delay %v --timeout %v --warmup %v, want none below 0 and a timeout above 0",
 			c.Work, c.Delay, c.Timeout, c.Warmup)
 	}
 	return cfg, nil
@@ -93,12 +93,12 @@
 func parseStream(text string) (load.Stream, error) {
 	parts := strings.Split(text, ":")
 	if len(parts) != streamParts || parts[0] == "" || !strings.HasPrefix(parts[2], "/") {
-		return load.Stream{}, command.Failf(command.Usage, "got --stream %q, want SERVICE:METHOD:PATH:SHARE", text)
+		return load.Stream{}, command.StatusErrorf(command.Usage, "got --stream %q, want SERVICE:METHOD:PATH:SHARE", text)
 	}
 	share, err := strconv.ParseFloat(parts[3], 64)
 	positive := share > 0 // false for NaN
 	if err != nil || !positive {
-		return load.Stream{}, command.Failf(command.Usage, "got --stream %q, want a share above 0", text)
+		return load.Stream{}, command.StatusErrorf(command.Usage, "got --stream %q, want a share above 0", text)
 	}
 	return load.Stream{Service: parts[0], Method: parts[1], Path: parts[2], Share: share}, nil
 }
--- a/internal/standin/command/model.go
+++ b/internal/standin/command/model.go
@@ -47,7 +47,7 @@
 		return c.list()
 	}
 	if c.Seeds < 1 || c.Parallel < 0 {
-		return command.Failf(command.Usage, "got --seeds %d --parallel %d, want at least 1 and 0", c.Seeds, c.Parallel)
+		return command.StatusErrorf(command.Usage, "got --seeds %d --parallel %d, want at least 1 and 0", c.Seeds, c.Parallel)
 	}
 	cfg, err := c.config()
 	if err != nil {
@@ -105,7 +105,7 @@
 	for _, name := range names {
 		i := slices.Index(known, name)
 		if i < 0 {
-			return nil, command.Failf(command.Usage, "got --%s %q, want one of %s", flag, name, strings.Join(known, ", "))
+			return nil, command.StatusErrorf(command.Usage, "got --%s %q, want one of %s", flag, name, strings.Join(known, ", "))
 		}
 		matches = append(matches, items[i])
 	}
@@ -130,7 +130,7 @@
 	path := filepath.Join(c.Plot, pattern+".svg")
 	f, err := os.Create(path)
 	if err != nil {
-		return command.Failf(command.Failed, "create plot: %v", err)
+		return command.StatusErrorf(command.Failed, "create plot: %v", err)
 	}
 	err = report.Plot(f, pattern)
 	if closeErr := f.Close(); err == nil && closeErr != nil {
--- a/internal/standin/command/serve.go
+++ b/internal/standin/command/serve.go
@@ -43,7 +43,7 @@
 		return err
 	}
 	if c.Lag < 0 {
-		return command.Failf(command.Usage, "got --lag %v, want 0 or more", c.Lag)
+		return command.StatusErrorf(command.Usage, "got --lag %v, want 0 or more", c.Lag)
 	}
 	return c.env.serve("platform", c.Listen, platform.New(platform.Config{Lag: c.Lag}).Handler())
 }
@@ -70,14 +70,14 @@
 		return err
 	}
 	if c.Slots < 1 || c.Queue < 0 || c.Work < 0 || c.Cold < 0 {
-		return command.Failf(command.Usage, "got --slots %d --queue %d --work %v --cold %v, want at least 1 slot and none below 0",
+		return command.StatusErrorf(command.Usage, "got --slots %d --queue %d --work %v --cold %v, want at least 1 slot and none below 0",
 			c.Slots, c.Queue, c.Work, c.Cold)
 	}
-	cfg := server.Config{Name: c.Name, Slots: c.Slots, Queue: c.Queue, Work: c.Work, Cold: c.Cold, Seed: c.Seed}
+	cfg := server.Config{Name: c.Name, Slots: c.Slots, Queue: c.Queue, Work: c.Work, ColdStart: c.Cold, Seed: c.Seed}
 	if c.Record != "" {
 		f, err := os.OpenFile(c.Record, os.O_APPEND|os.O_CREATE|os.O_WRONLY, recordMode)
 		if err != nil {
-			return command.Failf(command.Usage, "open --record: %v", err)
+			return command.StatusErrorf(command.Usage, "open --record: %v", err)
 		}
 		defer func() { _ = f.Close() }()
 		cfg.Record = f
--- a/internal/standin/command/trial.go
+++ b/internal/standin/command/trial.go
@@ -52,7 +52,7 @@
 		return err
 	}
 	if c.Duration < 0 || c.Repetitions < 1 || c.Parallel < 0 || c.Limit <= 0 || c.Work <= 0 || c.Queue < 1 {
-		return command.Failf(command.Usage, "got --duration %v --repetitions %d --parallel %d --limit %v --work %v --queue %d, want values above 0, and 0 or more for --duration and --parallel",
+		return command.StatusErrorf(command.Usage, "got --duration %v --repetitions %d --parallel %d --limit %v --work %v --queue %d, want values above 0, and 0 or more for --duration and --parallel",
 			c.Duration, c.Repetitions, c.Parallel, c.Limit, c.Work, c.Queue)
 	}
 	if len(c.Scenario) == 0 {
@@ -63,7 +63,7 @@
 
 // runSmallSystem runs the small system without a scenario.
 func (c *trialCommand) runSmallSystem() error {
-	cfg := trial.SmallConfig{Duration: c.Duration, Seed: c.Seed, Logger: zerolog.Nop(), Progress: c.env.cfg.Err}
+	cfg := trial.SmallSystemConfig{Duration: c.Duration, Seed: c.Seed, Logger: zerolog.Nop(), Progress: c.env.cfg.Err}
 	if c.Log {
 		cfg.Logger = event.NewLogger(c.env.cfg.Err, "info", "trial")
 	}
@@ -75,7 +75,7 @@
 		return err
 	}
 	if report.Cut > 0 || report.Repeated > 0 {
-		return command.Failf(command.Failed, "%d calls were cut and %d attempts ran more than once, want none", report.Cut, report.Repeated)
+		return command.StatusErrorf(command.Failed, "%d calls were cut and %d attempts ran more than once, want none", report.Cut, report.Repeated)
 	}
 	return nil
 }
@@ -89,7 +89,7 @@
 	}
 	report, err := trial.Compare(c.env.ctx, cfg)
 	if code.Of(err) == code.SettingsBadValue {
-		return command.Failf(command.Usage, "%v", err)
+		return command.StatusErrorf(command.Usage, "%v", err)
 	}
 	if len(report.Runs) == 0 {
 		return err
@@ -105,7 +105,7 @@
 	case trial.Bureau.String():
 		network = trial.Bureau
 	default:
-		return trial.CompareConfig{}, command.Failf(command.Usage, "got --network %q, want %v or %v", c.Network, trial.ShedNetwork, trial.Bureau)
+		return trial.CompareConfig{}, command.StatusErrorf(command.Usage, "got --network %q, want %v or %v", c.Network, trial.ShedNetwork, trial.Bureau)
 	}
 	return trial.CompareConfig{
 		Scenarios: c.Scenario, Candidates: c.Candidate, Network: network, Duration: c.Duration,
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -85,8 +85,8 @@
 	return r.listener.Addr().String()
 }
 
-// Set replaces the injected faults, for open and new connections.
-func (r *Relay) Set(f Fault) {
+// SetFault replaces the injected faults, for open and new connections.
+func (r *Relay) SetFault(f Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fault = f
--- a/internal/standin/relay/relay_test.go
+++ b/internal/standin/relay/relay_test.go
@@ -107,12 +107,12 @@
 		})
 		for name, f := range map[string]relay.Fault{"up": {HoldUp: true}, "down": {HoldDown: true}} {
 			convey.Convey("data held "+name+"stream is delivered without loss when the fault is cleared", func() {
-				r.Set(f)
+				r.SetFault(f)
 				_, err := c.Write([]byte("held"))
 				convey.So(err, convey.ShouldBeNil)
 				_, err = readWithin(c, 4, absenceWait)
 				convey.So(err, convey.ShouldNotBeNil)
-				r.Set(relay.Fault{})
+				r.SetFault(relay.Fault{})
 				s, err := readWithin(c, 4, waitTimeout)
 				convey.So(err, convey.ShouldBeNil)
 				convey.So(s, convey.ShouldEqual, "held")
@@ -120,7 +120,7 @@
 		}
 		convey.Convey("the delay applies to both directions", func() {
 			const delay = 30 * time.Millisecond
-			r.Set(relay.Fault{Delay: delay})
+			r.SetFault(relay.Fault{Delay: delay})
 			start := time.Now()
 			convey.So(echoes(c), convey.ShouldBeTrue)
 			convey.So(time.Since(start), convey.ShouldBeGreaterThanOrEqualTo, 2*delay)
@@ -139,7 +139,7 @@
 			convey.So(acceptsNew(r), convey.ShouldBeTrue)
 		})
 		convey.Convey("new connections can be refused while the open one works", func() {
-			r.Set(relay.Fault{Refuse: true})
+			r.SetFault(relay.Fault{Refuse: true})
 			convey.So(acceptsNew(r), convey.ShouldBeFalse)
 			convey.So(echoes(c), convey.ShouldBeTrue)
 		})
--- a/internal/standin/server/network.go
+++ b/internal/standin/server/network.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Distant wraps a handler with a simulated one-way network latency in each
+// WithLatency wraps a handler with a simulated one-way network latency in each
 // direction. The latency of the response delays its first byte only.
-func Distant(next http.Handler, oneWay time.Duration) http.Handler {
+func WithLatency(next http.Handler, oneWay time.Duration) http.Handler {
 	if oneWay <= 0 {
 		return next
 	}
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -49,9 +49,9 @@
 	// Work is the mean working time of a request. A request overrides it with
 	// the Work query parameter.
 	Work time.Duration
-	// Cold is the length of the cold start, during which working times are
+	// ColdStart is the length of the cold start, during which working times are
 	// longer.
-	Cold time.Duration
+	ColdStart time.Duration
 	// Neighbour is a noisy neighbour on the same host.
 	Neighbour Neighbour
 	// Seed seeds the random working times and the busy periods of the neighbour.
@@ -112,11 +112,11 @@
 	}
 }
 
-// Restart begins a new cold start of the given length.
-func (s *Server) Restart(cold time.Duration) {
+// BeginColdStart begins a new cold start of the given length.
+func (s *Server) BeginColdStart(coldStart time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cfg.Cold = cold
+	s.cfg.ColdStart = coldStart
 	s.startedAt = time.Now()
 }
 
@@ -309,7 +309,7 @@
 	if s.mode.Factor > 0 {
 		factor *= s.mode.Factor
 	}
-	if now.Sub(s.startedAt) < s.cfg.Cold {
+	if now.Sub(s.startedAt) < s.cfg.ColdStart {
 		factor *= coldStartFactor
 	}
 	return time.Duration(float64(d) * factor)
--- a/internal/standin/server/server_test.go
+++ b/internal/standin/server/server_test.go
@@ -66,7 +66,7 @@
 		tcp, err := net.Listen("tcp", "127.0.0.1:0")
 		convey.So(err, convey.ShouldBeNil)
 		l := server.NewSilentListener(tcp)
-		srv := &http.Server{Handler: server.Distant(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), time.Millisecond)}
+		srv := &http.Server{Handler: server.WithLatency(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), time.Millisecond)}
 		serveErr := make(chan error, 1)
 		go func() { serveErr <- srv.Serve(l) }()
 		roundTrip := func(c net.Conn) error {
--- a/internal/standin/trial/member.go
+++ b/internal/standin/trial/member.go
@@ -41,7 +41,7 @@
 
 // smallSystem is a running small system.
 type smallSystem struct {
-	cfg            SmallConfig
+	cfg            SmallSystemConfig
 	platform       *platform.Platform
 	platformServer *http.Server
 	platformErr    chan error
@@ -51,7 +51,7 @@
 
 // newSmallSystem starts all components, and waits until every gateway applies the first
 // routing rule.
-func newSmallSystem(ctx context.Context, cfg SmallConfig) (*smallSystem, error) {
+func newSmallSystem(ctx context.Context, cfg SmallSystemConfig) (*smallSystem, error) {
 	s := &smallSystem{cfg: cfg, platform: platform.New(platform.Config{Lag: smallLag}), platformErr: make(chan error, 1)}
 	l, err := listen(ctx)
 	if err != nil {
--- a/internal/standin/trial/scenario.go
+++ b/internal/standin/trial/scenario.go
@@ -131,10 +131,10 @@
 }
 
 // restart restarts n servers, as new incarnations that begin with a cold period.
-func restart(n int, cold time.Duration) func(*system) {
+func restart(n int, coldStart time.Duration) func(*system) {
 	return func(sys *system) {
 		for _, e := range sys.firstEndpoints(n) {
-			e.server.Restart(cold)
+			e.server.BeginColdStart(coldStart)
 			e.incarnation++
 		}
 		sys.publishServers(time.Now())
--- a/internal/standin/trial/small.go
+++ b/internal/standin/trial/small.go
@@ -22,8 +22,8 @@
 	smallUtilization = 0.5
 )
 
-// SmallConfig configures RunSmallSystem. Zero values select the defaults.
-type SmallConfig struct {
+// SmallSystemConfig configures RunSmallSystem. Zero values select the defaults.
+type SmallSystemConfig struct {
 	// Duration is the time during which calls arrive.
 	Duration time.Duration
 	// Seed seeds the random generators of the load.
@@ -34,8 +34,8 @@
 	Progress io.Writer
 }
 
-// SmallReport is the result of RunSmallSystem.
-type SmallReport struct {
+// SmallSystemReport is the result of RunSmallSystem.
+type SmallSystemReport struct {
 	// Load holds the measurements of the load generator.
 	Load load.Result
 	// Runs is the number of executions that the servers counted, and Repeated the
@@ -54,7 +54,7 @@
 }
 
 // Text returns the report as text.
-func (r SmallReport) Text() string {
+func (r SmallSystemReport) Text() string {
 	var b strings.Builder
 	b.WriteString(r.Load.Text())
 	fmt.Fprintf(&b, "\nThe servers counted %d executions; %d attempts ran more than once.\n", r.Runs, r.Repeated)
@@ -67,7 +67,7 @@
 // RunSmallSystem runs a whole small system on the loopback interface: the platform,
 // endpoint servers, three gateways and a load generator. Under load, it submits a rule
 // change to the platform's object store and gracefully stops one gateway.
-func RunSmallSystem(ctx context.Context, cfg SmallConfig) (SmallReport, error) {
+func RunSmallSystem(ctx context.Context, cfg SmallSystemConfig) (SmallSystemReport, error) {
 	if cfg.Duration <= 0 {
 		cfg.Duration = 10 * time.Second
 	}
@@ -78,7 +78,7 @@
 	defer cancel()
 	s, err := newSmallSystem(ctx, cfg)
 	if err != nil {
-		return SmallReport{}, err
+		return SmallSystemReport{}, err
 	}
 	report, err := s.run(ctx)
 	return report, errors.Join(err, s.close())
@@ -86,13 +86,13 @@
 
 // run changes a routing rule and stops a gateway while it generates load, and returns
 // the report.
-func (s *smallSystem) run(ctx context.Context) (SmallReport, error) {
+func (s *smallSystem) run(ctx context.Context) (SmallSystemReport, error) {
 	probesBefore, begin := s.probeCount(), time.Now()
 	pollCtx, stopPolling := context.WithCancel(ctx)
 	pollingDone := make(chan struct{})
 	go s.pollReadiness(pollCtx, pollingDone)
 	loadErr := make(chan error, 1)
-	var r SmallReport
+	var r SmallSystemReport
 	go func() {
 		var err error
 		r.Load, err = load.Run(ctx, s.loadConfig())
@@ -165,7 +165,7 @@
 }
 
 // countExecutions adds the servers' execution counts to the report.
-func (s *smallSystem) countExecutions(r *SmallReport) {
+func (s *smallSystem) countExecutions(r *SmallSystemReport) {
 	for _, e := range s.endpoints {
 		count := e.server.Count()
 		r.Runs += count.Total
--- a/internal/standin/trial/system.go
+++ b/internal/standin/trial/system.go
@@ -92,7 +92,7 @@
 		if err != nil {
 			return nil, errors.Join(err, e.close())
 		}
-		srv := &http.Server{Handler: server.Distant(e.server.Handler(), delay), ReadHeaderTimeout: headerTimeout}
+		srv := &http.Server{Handler: server.WithLatency(e.server.Handler(), delay), ReadHeaderTimeout: headerTimeout}
 		silent := server.NewSilentListener(l)
 		e.listeners = append(e.listeners, silent)
 		e.httpServers = append(e.httpServers, srv)
--- a/internal/standin/trial/trial_test.go
+++ b/internal/standin/trial/trial_test.go
@@ -52,7 +52,7 @@
 
 func TestSmall(t *testing.T) {
 	convey.Convey("Given a small system with a rule change and a graceful stop under load", t, func() {
-		report, err := trial.RunSmallSystem(context.Background(), trial.SmallConfig{Duration: 2 * time.Second})
+		report, err := trial.RunSmallSystem(context.Background(), trial.SmallSystemConfig{Duration: 2 * time.Second})
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(report.Load.All.Calls, convey.ShouldBeGreaterThan, 0)
 		convey.So(report.Cut, convey.ShouldEqual, 0)
