--- a/cmd/mustardsaddle/leaving_test.go
+++ b/cmd/mustardsaddle/leaving_test.go
@@ -25,7 +25,7 @@
 	return s.requestsReceived(e) - before
 }
 
-func TestLeaving(t *testing.T) {
+func TestServerLeaving(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		// leave makes the server leave.
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestMisleadingDraining(t *testing.T) {
+func TestTransientDrainingReport(t *testing.T) {
 	convey.Convey("Given a server under load that erroneously reports draining for a moment", t, func() {
 		s := newSystem(t, 4, 3)
 		tr := newTraffic(12, targets(s.gateways...))
@@ -109,7 +109,7 @@
 // traffic began while a gateway knows only the first server, calls would fail
 // when that server leaves. newSystem must wait until every gateway knows all
 // servers.
-func TestSystemKnowsAllServers(t *testing.T) {
+func TestNewSystemWaitsForAllServers(t *testing.T) {
 	convey.Convey("Given a list to which the servers are added one by one while gateways start", t, func() {
 		s := newSystemWithLag(t, 5*listLag, listLag, 4, 3)
 		convey.Convey("Calls succeed when the server that was listed first leaves", func() {
--- a/cmd/mustardsaddle/log_test.go
+++ b/cmd/mustardsaddle/log_test.go
@@ -30,7 +30,7 @@
 // A gateway must not block on a log reader that has stopped reading. Each call
 // logs two lines of about 300 bytes; a pipe buffers 64 KiB and the gateway 1
 // MiB of lines, so both buffers are full after a few thousand calls.
-func TestStuckLogReader(t *testing.T) {
+func TestBlockedLogOutput(t *testing.T) {
 	const calls = 3000
 	convey.Convey("Given a gateway whose standard output is not read", t, func() {
 		s := newSystem(t, 3, 0)
--- a/cmd/mustardsaddle/path_test.go
+++ b/cmd/mustardsaddle/path_test.go
@@ -9,7 +9,7 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-func TestWholePath(t *testing.T) {
+func TestCallsThroughAllGateways(t *testing.T) {
 	convey.Convey("Given a platform, three servers and three gateways, calls through each gateway succeed and each attempt runs once", t, func() {
 		s := newSystem(t, 3, 3)
 		before := int64(0)
--- a/cmd/mustardsaddle/soak_test.go
+++ b/cmd/mustardsaddle/soak_test.go
@@ -87,8 +87,8 @@
 	},
 }
 
-// TestSoakFailures runs the seeds that have failed before.
-func TestSoakFailures(t *testing.T) {
+// TestSoakRegressions runs the seeds that have failed before.
+func TestSoakRegressions(t *testing.T) {
 	for _, f := range soakRegressions {
 		t.Run(fmt.Sprintf("seed %d", f.seed), func(t *testing.T) {
 			if f.large && !*soakLarge {
--- a/cmd/mustardsaddle/stop_test.go
+++ b/cmd/mustardsaddle/stop_test.go
@@ -81,7 +81,7 @@
 	return nil
 }
 
-func TestStopUnderLoadCutsNothing(t *testing.T) {
+func TestGracefulStopUnderLoad(t *testing.T) {
 	convey.Convey("Given a gateway with downloads, uploads, queued calls and keep-alive connections", t, func() {
 		s := newSystem(t, 6, 2, "--work", "20ms")
 		g := s.gateways[0]
@@ -116,7 +116,7 @@
 	})
 }
 
-func TestSecondSignalEndsAtOnce(t *testing.T) {
+func TestSecondSignalForcesExit(t *testing.T) {
 	convey.Convey("Given a gateway that is stopping while a download is in progress", t, func() {
 		s := newSystem(t, 1, 1)
 		g := s.gateways[0]
--- a/commands_test.go
+++ b/commands_test.go
@@ -15,10 +15,10 @@
 // flagPattern matches the pattern of -run, -bench or -fuzz, with or without quotes.
 var flagPattern = regexp.MustCompile(`-(run|bench|fuzz) (?:'([^']*)'|([^ ]+))`)
 
-// TestCommandsOfPagesRunTests compares the test commands in the documents with the
-// existing tests. A command whose pattern matches no test passes without running
-// anything.
-func TestCommandsOfPagesRunTests(t *testing.T) {
+// TestDocumentedCommandsMatchTests compares the test commands in the documents with
+// the existing tests. A command whose pattern matches no test passes without
+// running anything.
+func TestDocumentedCommandsMatchTests(t *testing.T) {
 	documents, err := filepath.Glob("docs/*.md")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/base/code/doc_test.go
+++ b/internal/base/code/doc_test.go
@@ -85,9 +85,9 @@
 	return rows
 }
 
-// TestPagesNameEveryNumber checks that the pages document exactly the declared codes
-// and events.
-func TestPagesNameEveryNumber(t *testing.T) {
+// TestDocsListEveryConstant checks that the pages document exactly the declared
+// codes and events.
+func TestDocsListEveryConstant(t *testing.T) {
 	for _, l := range catalogs() {
 		numbers, rows := l.numbers(), l.rows(t)
 		for _, name := range l.constants(t) {
--- a/internal/base/event/event_test.go
+++ b/internal/base/event/event_test.go
@@ -46,9 +46,9 @@
 	})
 }
 
-// BenchmarkRouteLine measures the logging of one RouteChosen line with a typical
+// BenchmarkLogLine measures the logging of one RouteChosen line with a typical
 // number of fields.
-func BenchmarkRouteLine(b *testing.B) {
+func BenchmarkLogLine(b *testing.B) {
 	logger := event.NewLogger(io.Discard, "info", "gateway-1")
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/base/event/writer_test.go
+++ b/internal/base/event/writer_test.go
@@ -61,9 +61,9 @@
 	})
 }
 
-// BenchmarkOutput compares synchronous logging with logging through a Writer, both to
-// the null device.
-func BenchmarkOutput(b *testing.B) {
+// BenchmarkWriter compares synchronous logging with logging through a Writer, both
+// to the null device.
+func BenchmarkWriter(b *testing.B) {
 	null, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/base/settings/settings_test.go
+++ b/internal/base/settings/settings_test.go
@@ -23,7 +23,7 @@
 // can append more of its keys.
 const minimalFile = "[Platform]\nURL = http://127.0.0.1:7000\n[Gateway]\nName = g1\nZone = a\nPeer = 127.0.0.1:0\n"
 
-func TestExampleLoadsAndStatesEverySetting(t *testing.T) {
+func TestExampleIsComplete(t *testing.T) {
 	s, problems := settings.Load(docs + "gateway.example.ini")
 	if len(problems) > 0 {
 		t.Fatalf("example file has problems: %v", problems)
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestTableNamesEverySetting(t *testing.T) {
+func TestDocsListEverySetting(t *testing.T) {
 	text, err := os.ReadFile(docs + "SETTINGS.md")
 	if err != nil {
 		t.Fatal(err)
@@ -188,9 +188,9 @@
 	})
 }
 
-// TestEveryMistakeIsListed gives a random set of settings invalid values, and expects
+// TestEveryErrorIsReported gives a random set of settings invalid values, and expects
 // exactly one problem for each of them.
-func TestEveryMistakeIsListed(t *testing.T) {
+func TestEveryErrorIsReported(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var text strings.Builder
 		section, invalid := "", make(map[string]bool)
--- a/internal/choice/bench/bench_test.go
+++ b/internal/choice/bench/bench_test.go
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestBenchInvariants(t *testing.T) {
+func TestChooserInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := bench.Config{Policy: rapid.SampledFrom(policies).Draw(t, "policy"), IgnoreShed: rapid.Bool().Draw(t, "ignore")}
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -327,7 +327,7 @@
 	})
 }
 
-func TestLyingReportsLoseTheirWeight(t *testing.T) {
+func TestInaccurateReportsLoseWeight(t *testing.T) {
 	convey.Convey("Given two servers, one of which always reports that it is idle and sheds", t, func() {
 		rng := rand.New(rand.NewPCG(1, 1))
 		b := bench.New(bench.Config{Policy: bench.HotCold, IgnoreShed: true})
--- a/internal/choice/report/report_test.go
+++ b/internal/choice/report/report_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestBudgetIsNeverOverInAnyWindow(t *testing.T) {
+func TestBudgetLimitInAnyWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		perSecond := rapid.Float64Range(0.5, 100).Draw(t, "messages")
 		bytesPerSecond := rapid.Float64Range(100, 40000).Draw(t, "bytes")
--- a/internal/choice/share/share_test.go
+++ b/internal/choice/share/share_test.go
@@ -45,7 +45,7 @@
 	})
 }
 
-func TestSlotsAreDividedWhole(t *testing.T) {
+func TestAllSlotsAreAssigned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 4).Draw(t, "Slots")
 		all, fleet := servers(rapid.IntRange(1, 60).Draw(t, "Servers"), slots), gateways(rapid.IntRange(1, 20).Draw(t, "Gateways"))
--- a/internal/choice/survey/survey_test.go
+++ b/internal/choice/survey/survey_test.go
@@ -93,7 +93,7 @@
 	})
 }
 
-func TestShedsWithoutReason(t *testing.T) {
+func TestUnexplainedSheds(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		// inFlight is the load that the server reports with each shed; it has two slots.
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestGuessesWhenNobodyMayBeAsked(t *testing.T) {
+func TestChoiceWithoutQueries(t *testing.T) {
 	convey.Convey("Given a server whose last report is stale", t, func() {
 		chooser := newChooser(1)
 		chooser.Observe(start, "booking-0", report(start, 2, 1))
@@ -146,7 +146,7 @@
 	})
 }
 
-func TestQuestionsRunShort(t *testing.T) {
+func TestQueryLimit(t *testing.T) {
 	convey.Convey("Given a limit of 20 queries per second and 8 per call", t, func() {
 		q, now := survey.NewQueryLimiter(8), start
 		q.SetRate(now, 20)
@@ -178,7 +178,7 @@
 	})
 }
 
-func TestKnowsAPartOfALargeService(t *testing.T) {
+func TestSubsetOfLargeService(t *testing.T) {
 	convey.Convey("Given 256 servers and 16 gateways that know about 32 servers each", t, func() {
 		fleet := make([]mustardsaddle.VM, 16)
 		for i := range fleet {
@@ -227,10 +227,10 @@
 	})
 }
 
-// TestGreyServers covers servers with a gray failure: they report that they are
+// TestGrayFailure covers servers with a gray failure: they report that they are
 // healthy and fail their requests. Since they look idle, they would attract most of
 // the attempts.
-func TestGreyServers(t *testing.T) {
+func TestGrayFailure(t *testing.T) {
 	convey.Convey("Given a server that fails every request and therefore looks idle", t, func() {
 		chooser, rng := newChooser(5), newRand()
 		failing, failed, now := "booking-0", 0, start
@@ -265,7 +265,7 @@
 	})
 }
 
-func TestVerdicts(t *testing.T) {
+func TestExclusions(t *testing.T) {
 	fail := mustardsaddle.Result{Server: "booking-0", Failed: true}
 	for _, c := range []struct {
 		name   string
@@ -299,7 +299,7 @@
 	}
 }
 
-func TestAsk(t *testing.T) {
+func TestQuerySelection(t *testing.T) {
 	convey.Convey("Given twenty servers", t, func() {
 		chooser, rng := newChooser(20), newRand()
 		convey.Convey("Up to n servers are returned, none with a pending query", func() {
--- a/internal/control/catalog/catalog_test.go
+++ b/internal/control/catalog/catalog_test.go
@@ -97,9 +97,9 @@
 	<-done
 }
 
-// TestHistoryLostAgainAndAgain guards against calls in a tight loop while the
+// TestHistoryLostRepeatedly guards against calls in a tight loop while the
 // directory retains no history, so that every request for changes fails.
-func TestHistoryLostAgainAndAgain(t *testing.T) {
+func TestHistoryLostRepeatedly(t *testing.T) {
 	d := &fakeDirectory{snapshot: mustardsaddle.Update{Whole: true, Revision: 5, Rules: rules(1)}}
 	for range 10_000 {
 		d.failures = append(d.failures, code.Errorf(code.StoreHistoryLost, "history was discarded"))
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestMergeOf(t *testing.T) {
+func TestCompareRevision(t *testing.T) {
 	for _, c := range []struct {
 		name                   string
 		known, after, revision int64
@@ -265,10 +265,10 @@
 	})
 }
 
-// TestReadersSpareTheDirectory guards against every gateway reading a snapshot after a
-// directory outage in which the history was lost: the snapshot that the first gateway
-// reads and forwards must suffice for the others.
-func TestReadersSpareTheDirectory(t *testing.T) {
+// TestReadersLimitDirectoryReads guards against every gateway reading a snapshot after
+// a directory outage in which the history was lost: the snapshot that the first
+// gateway reads and forwards must suffice for the others.
+func TestReadersLimitDirectoryReads(t *testing.T) {
 	convey.Convey("Given a gateway that has read a snapshot, and a peer with the same revision", t, func() {
 		d := &fakeDirectory{snapshot: mustardsaddle.Update{Whole: true, Revision: 5, Rules: rules(1)}}
 		rulesUpdates := make(chan mustardsaddle.Update, 8)
@@ -334,10 +334,10 @@
 	})
 }
 
-// TestPeerTellsOfMissingServers guards against the immediate removal of servers whose
-// directory entries expired during an outage, when a peer reads the directory first
-// and forwards the removals.
-func TestPeerTellsOfMissingServers(t *testing.T) {
+// TestPeerForwardsRemovalsAfterOutage guards against the immediate removal of servers
+// whose directory entries expired during an outage, when a peer reads the directory
+// first and forwards the removals.
+func TestPeerForwardsRemovalsAfterOutage(t *testing.T) {
 	convey.Convey("Given a server whose removal is received from a peer", t, func() {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		var servers []mustardsaddle.Server
--- a/internal/control/registry/registry_test.go
+++ b/internal/control/registry/registry_test.go
@@ -281,7 +281,7 @@
 	})
 }
 
-func TestColdFleetWithASlowStore(t *testing.T) {
+func TestColdStartWithSlowStore(t *testing.T) {
 	convey.Convey("Given rules in a store that is slow and rejects more than 200 calls per second", t, func() {
 		g := startFleet(t, fleetOptions{size: 17, watchers: 6, fault: platform.Fault{Delay: time.Second, CallsPerSecond: 200}})
 		g.platform.Put(registry.AcceptedKey, []byte(rule.Accepted{File: fileOf(7, ruleLine(1)), Submission: 9}.Format()), -1)
@@ -347,7 +347,7 @@
 	})
 }
 
-func TestAlienObjectIsRepaired(t *testing.T) {
+func TestForeignObjectIsRepaired(t *testing.T) {
 	older := rule.Accepted{File: fileOf(1, ruleLine(9)), Submission: 1}.Format()
 	for _, test := range []struct{ name, text string }{
 		{"invalid data", "{}"},
@@ -372,7 +372,7 @@
 	}
 }
 
-func TestRacingOperatorsThroughFaults(t *testing.T) {
+func TestConcurrentOperatorsWithFaults(t *testing.T) {
 	convey.Convey("Given concurrent operators while the store loses responses and becomes unavailable", t, func() {
 		const operators, changes = 3, 8
 		g := startFleet(t, fleetOptions{size: 5, watchers: 5, sameRank: true})
--- a/internal/control/roster/neighbor_test.go
+++ b/internal/control/roster/neighbor_test.go
@@ -218,7 +218,7 @@
 	})
 }
 
-func TestReturningVMsAreCalled(t *testing.T) {
+func TestDepartedVMsAreDialed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var vms []mustardsaddle.VM
 		live := 0
--- a/internal/control/roster/roster_test.go
+++ b/internal/control/roster/roster_test.go
@@ -133,7 +133,7 @@
 	})
 }
 
-func TestShrinkingList(t *testing.T) {
+func TestMassRemoval(t *testing.T) {
 	convey.Convey("Given ten listed servers", t, func() {
 		r := roster.New(roster.Config{}).WithPage(start, "Booking", servers(10))
 		convey.Convey("An empty page is always ignored", func() {
--- a/internal/control/rule/accept_test.go
+++ b/internal/control/rule/accept_test.go
@@ -105,7 +105,7 @@
 	})
 }
 
-func TestAcceptBoundsRefusals(t *testing.T) {
+func TestAcceptLimitsRefusals(t *testing.T) {
 	convey.Convey("Given a submission with many errors", t, func() {
 		s := rule.ParseSubmission(1, "# Generation 0\n"+strings.Repeat("Path=/x\n", 5000))
 		d := rule.Accept(time.Time{}, rule.Accepted{}, s)
--- a/internal/control/rule/change_test.go
+++ b/internal/control/rule/change_test.go
@@ -81,7 +81,7 @@
 	return fileOf(2, lines...)
 }
 
-func TestChangeSizeIsFlat(t *testing.T) {
+func TestChangeSizeIsIndependentOfFileSize(t *testing.T) {
 	convey.Convey("Given one changed rule in files of 300 and 15,000 rules", t, func() {
 		small, large := largeFile(300), largeFile(15000)
 		a, err := cbor.Marshal(rule.Diff(small, withOneChange(small)))
@@ -92,9 +92,10 @@
 	})
 }
 
-// TestApplyOfAnyChange applies arbitrary changes, as a faulty peer might send them.
-// An applied change must match its digest, and any other must leave the file as is.
-func TestApplyOfAnyChange(t *testing.T) {
+// TestApplyArbitraryChange applies arbitrary changes, as a faulty peer might send
+// them. An applied change must match its digest, and any other must leave the file
+// as is.
+func TestApplyArbitraryChange(t *testing.T) {
 	edit := rapid.Custom(func(t *rapid.T) rule.Edit {
 		at := rapid.OneOf(rapid.IntRange(-2, 5), rapid.Int()).Draw(t, "at")
 		return rule.Edit{At: at, Text: rapid.OneOf(rapid.SampledFrom([]string{lineA, lineB, "# c", ""}), rapid.String()).Draw(t, "text")}
--- a/internal/control/rule/parse_test.go
+++ b/internal/control/rule/parse_test.go
@@ -25,7 +25,7 @@
 	return found
 }
 
-func TestParseMistakes(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	const good = "Path=/a Service=S # Tan: why"
 	for _, test := range []struct {
 		name, text string
--- a/internal/control/rule/rule_bench_test.go
+++ b/internal/control/rule/rule_bench_test.go
@@ -53,10 +53,10 @@
 	})
 }
 
-// BenchmarkSpread measures the propagation of a change to one rule: computing and
-// encoding the diff, and decoding it, applying it and building the new table on a
+// BenchmarkPropagateChange measures the propagation of a change to one rule: computing
+// and encoding the diff, and decoding it, applying it and building the new table on a
 // peer.
-func BenchmarkSpread(b *testing.B) {
+func BenchmarkPropagateChange(b *testing.B) {
 	runSizes(b, func(b *testing.B, n int) {
 		from := largeFile(n)
 		to := withOneChange(from)
--- a/internal/control/rule/split_test.go
+++ b/internal/control/rule/split_test.go
@@ -11,7 +11,7 @@
 	"mustardsaddle.example/mustardsaddle/internal/control/rule"
 )
 
-func TestFieldsOfLines(t *testing.T) {
+func TestFieldValidation(t *testing.T) {
 	for _, c := range []struct {
 		line string
 		want code.Code
--- a/internal/control/rule/table_test.go
+++ b/internal/control/rule/table_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestExplainNamesLinesAndReasons(t *testing.T) {
+func TestExplainReportsLinesAndVerdicts(t *testing.T) {
 	convey.Convey("Given three rules that overlap on a path", t, func() {
 		table := rule.Compile(fileOf(1, "Path=/a/* Service=Rest # Tan: x", "# comment", "Path=/a/b Method=POST Service=Post # Tan: x", "Path=/a/b Service=Exact # Tan: x"))
 		candidates := table.Explain(httptest.NewRequest(http.MethodGet, "http://h/a/b", nil))
--- a/internal/control/store/client_test.go
+++ b/internal/control/store/client_test.go
@@ -104,7 +104,7 @@
 // connectionID is the context key of a connection's number.
 type connectionID struct{}
 
-func TestClientLeavesSilentConnections(t *testing.T) {
+func TestClientDropsUnresponsiveConnections(t *testing.T) {
 	convey.Convey("Given pooled connections that no longer respond, while new ones do", t, func() {
 		const parallel = 5
 		var accepted, unresponsive atomic.Int64
--- a/internal/peer/link/link_test.go
+++ b/internal/peer/link/link_test.go
@@ -214,7 +214,7 @@
 	})
 }
 
-func TestCutLinkIsReplaced(t *testing.T) {
+func TestResetLinkIsReplaced(t *testing.T) {
 	convey.Convey("Given a link that is reset while messages are sent, each change still arrives over a new connection", t, func() {
 		a, b, proxy := startPair(t, fastTiming())
 		for range 5 {
@@ -379,7 +379,7 @@
 	})
 }
 
-func TestDroppedNeighborIsClosed(t *testing.T) {
+func TestLinkToRemovedNeighborIsClosed(t *testing.T) {
 	convey.Convey("Given a link to a peer that is no longer a neighbor, the link ends on both sides", t, func() {
 		a, b, _ := startPair(t, fastTiming())
 		a.links.SetNeighbors(nil)
--- a/internal/peer/news/relay_test.go
+++ b/internal/peer/news/relay_test.go
@@ -23,7 +23,7 @@
 // Rule changes that originate at any VM and are delivered in any order reach every
 // VM over the links that roster.Neighbors selects. Each change crosses a link at
 // most once in each direction.
-func TestFloodReachesEveryVMOnce(t *testing.T) {
+func TestFloodReachesEveryVM(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "VMs")
 		var vms []mustardsaddle.VM
--- a/internal/peer/news/told_test.go
+++ b/internal/peer/news/told_test.go
@@ -11,7 +11,7 @@
 
 // Gateways in a ring forward their new entries to both neighbors, in any order. All
 // of them learn the generation of every VM, and then have nothing left to forward.
-func TestToldReachesEveryVM(t *testing.T) {
+func TestGenerationsReachEveryVM(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 12).Draw(t, "VMs")
 		name := func(i int) string { return fmt.Sprintf("gateway-%d", i) }
--- a/internal/product/admin/admin_test.go
+++ b/internal/product/admin/admin_test.go
@@ -118,7 +118,7 @@
 	})
 }
 
-func TestFollow(t *testing.T) {
+func TestReportState(t *testing.T) {
 	convey.Convey("Given a gateway whose state changes", t, func() {
 		m := admin.NewMetrics(admin.MetricsConfig{Interval: time.Hour})
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/product/command/signal_test.go
+++ b/internal/product/command/signal_test.go
@@ -11,7 +11,7 @@
 	"mustardsaddle.example/mustardsaddle/internal/product/command"
 )
 
-func TestStops(t *testing.T) {
+func TestStopSignals(t *testing.T) {
 	convey.Convey("Given a process that waits for signals", t, func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
--- a/internal/product/instance/call_test.go
+++ b/internal/product/instance/call_test.go
@@ -20,7 +20,7 @@
 
 // A tenfold increase of calls must not raise the number of probes and load queries above
 // the configured rate. The servers count both as probes.
-func TestSurgeKeepsTheMeasuringBudget(t *testing.T) {
+func TestSurgeKeepsProbeBudget(t *testing.T) {
 	const (
 		rate    = 10.0 // probes per second of each gateway
 		burst   = 0.25 // seconds for which unused probe tokens accumulate
@@ -206,7 +206,7 @@
 // A response body that stalls is cut off so that the caller sees an error, or replaced
 // by an error response if none of it has been forwarded yet. A body that is only slow
 // arrives complete even if it takes longer than the deadline.
-func TestBodyThatStandsStill(t *testing.T) {
+func TestStalledBody(t *testing.T) {
 	const steps, part = 30, 8 << 10
 	s := newCluster(t, 0)
 	s.configure = func(cfg *settings.Settings) { cfg.Limits.Progress = time.Second }
@@ -251,7 +251,7 @@
 // A request that needs a claim runs at most once, no matter how often and through which
 // gateways its caller sends it, even if the responses to all writes to the store are
 // lost. While the store is down it does not run.
-func TestClaimThroughAFaultyStore(t *testing.T) {
+func TestClaimWithFaultyStore(t *testing.T) {
 	const orders = "Path=/orders Method=POST Service=Booking Repeat=Claim # Tan: order once\n"
 	s := newCluster(t, 2)
 	s.submit(initialRules + orders)
--- a/internal/product/instance/change_test.go
+++ b/internal/product/instance/change_test.go
@@ -23,7 +23,7 @@
 
 // If the response to the write of the accepted rules is lost, the change is still
 // accepted exactly once. Submitting the same rules again changes nothing.
-func TestLostAnswerOfAcceptance(t *testing.T) {
+func TestLostResponseToAcceptance(t *testing.T) {
 	s := newCluster(t, 1)
 	s.startReady("gateway-1", "gateway-2", "gateway-3")
 	_, before := s.newest(registry.AcceptedKey)
@@ -53,7 +53,7 @@
 // If operators edit the same generation concurrently, edits of different rules are
 // merged. Of conflicting edits the first is kept; the second is refused with a code
 // that is published in Rules/InForce.
-func TestRacingOperators(t *testing.T) {
+func TestConcurrentOperators(t *testing.T) {
 	s := newCluster(t, 1)
 	s.startReady("gateway-1", "gateway-2", "gateway-3")
 	const (
--- a/internal/request/booking/booking_test.go
+++ b/internal/request/booking/booking_test.go
@@ -19,7 +19,7 @@
 	ran                               bool
 }
 
-func TestCallKeepsItsInvariants(t *testing.T) {
+func TestCallInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		repeat := rapid.SampledFrom([]mustardsaddle.Repeat{mustardsaddle.RepeatNo, mustardsaddle.RepeatYes, mustardsaddle.RepeatClaim}).Draw(t, "Repeat")
 		deadline := start.Add(time.Second)
--- a/internal/request/booking/window_test.go
+++ b/internal/request/booking/window_test.go
@@ -9,10 +9,10 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/booking"
 )
 
-// TestWindowHoldsWhereverItBegins checks the bound over every sliding window for random
-// sequences of calls and extra attempts, bursts included. It generates the times, because
-// a property test cannot rely on the wall clock.
-func TestWindowHoldsWhereverItBegins(t *testing.T) {
+// TestWindowBoundHoldsForEveryWindow checks the bound over every sliding window for
+// random sequences of calls and extra attempts, bursts included. It generates the times,
+// because a property test cannot rely on the wall clock.
+func TestWindowBoundHoldsForEveryWindow(t *testing.T) {
 	const span = time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		bounds := booking.Bounds{
--- a/internal/request/connection/connection_test.go
+++ b/internal/request/connection/connection_test.go
@@ -22,7 +22,7 @@
 	return near, far
 }
 
-func TestSealedConnection(t *testing.T) {
+func TestBlockedWrites(t *testing.T) {
 	convey.Convey("Given a counted connection with one write", t, func() {
 		near, far := pair(t)
 		c := connection.NewCountedConn(near)
@@ -52,7 +52,7 @@
 	})
 }
 
-func TestIdleConnectionClosesByTheLimitInForce(t *testing.T) {
+func TestIdleConnectionUsesCurrentTimeout(t *testing.T) {
 	convey.Convey("Given an idle connection and a long timeout", t, func() {
 		near, far := pair(t)
 		idle := connection.NewIdleCloser(func() time.Duration { return connection.MaxIdleTimeout })
--- a/internal/request/gateway/duplex_test.go
+++ b/internal/request/gateway/duplex_test.go
@@ -9,10 +9,10 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/gateway"
 )
 
-// TestAnswerBeginsBeforeTheBodyEnds uses a server that echoes the request body
-// while it is received. The gateway must not drop the rest of the body when the
-// response starts.
-func TestAnswerBeginsBeforeTheBodyEnds(t *testing.T) {
+// TestResponseStartsBeforeRequestBodyEnds uses a server that echoes the request
+// body while it is received. The gateway must not drop the rest of the body when
+// the response starts.
+func TestResponseStartsBeforeRequestBodyEnds(t *testing.T) {
 	s := newCountingServer(t, func(w http.ResponseWriter, r *http.Request) {
 		_ = http.NewResponseController(w).EnableFullDuplex()
 		if _, err := io.Copy(w, r.Body); err != nil {
--- a/internal/request/gateway/http_test.go
+++ b/internal/request/gateway/http_test.go
@@ -215,7 +215,7 @@
 	})
 }
 
-func TestRefusalComesAtTheDecision(t *testing.T) {
+func TestRefusalIsImmediate(t *testing.T) {
 	convey.Convey("Given a server that is busy beyond the deadline", t, func() {
 		release := make(chan struct{})
 		s := newCountingServer(t, func(http.ResponseWriter, *http.Request) { <-release })
--- a/internal/request/gateway/once_test.go
+++ b/internal/request/gateway/once_test.go
@@ -92,9 +92,9 @@
 	}
 }
 
-// TestOutcomeIsTrue injects random faults, and checks each reported outcome against
-// the executions that the server counted.
-func TestOutcomeIsTrue(t *testing.T) {
+// TestOutcomeMatchesExecutions injects random faults, and checks each reported
+// outcome against the executions that the server counted.
+func TestOutcomeMatchesExecutions(t *testing.T) {
 	s := newCountingServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = fmt.Fprint(w, "run")
 	})
@@ -138,7 +138,7 @@
 	})
 }
 
-func TestShedIsRetriedElsewhere(t *testing.T) {
+func TestShedRequestIsRetriedOnAnotherServer(t *testing.T) {
 	convey.Convey("Given a server that sheds load and a healthy one", t, func() {
 		shedding := newCountingServer(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Endpoint-Not-Run", "1")
@@ -166,10 +166,10 @@
 	})
 }
 
-// TestIdleConnectionIsNoFault sends at-most-once calls while the pooled connection
+// TestIdleConnectionIsReplaced sends at-most-once calls while the pooled connection
 // has been idle for longer than the liveness window. They must use a new connection
 // instead of failing.
-func TestIdleConnectionIsNoFault(t *testing.T) {
+func TestIdleConnectionIsReplaced(t *testing.T) {
 	s := newCountingServer(t, nil)
 	front, _ := newGateway(t, gateway.Config{}, s.address())
 	if _, _, err := do(t, front, "GET", "/warm", ""); err != nil {
--- a/internal/request/gateway/patience_test.go
+++ b/internal/request/gateway/patience_test.go
@@ -24,11 +24,11 @@
 	c.results <- r
 }
 
-// TestCallerLeavesAtItsDeadline guards against servers that hang while they look
+// TestCallerCancelsAtDeadline guards against servers that hang while they look
 // healthy. Callers cancel at their own deadline, shortly before the gateway's
 // deadline passes, and the attempt must count as a failure of the server all the
 // same.
-func TestCallerLeavesAtItsDeadline(t *testing.T) {
+func TestCallerCancelsAtDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name                    string
 		callerTimeout, deadline time.Duration
--- a/internal/request/gateway/prober_test.go
+++ b/internal/request/gateway/prober_test.go
@@ -48,7 +48,7 @@
 	})
 }
 
-func TestProberPassesASilentServer(t *testing.T) {
+func TestProberSkipsSilentServer(t *testing.T) {
 	s := newCountingServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(report.Header, report.Format(1, 2, false))
 	})
--- a/internal/request/gateway/question_test.go
+++ b/internal/request/gateway/question_test.go
@@ -16,10 +16,10 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/gateway"
 )
 
-// TestQuestionsProveConnectionsAlive sends at-most-once requests with pauses longer
-// than the liveness window. The load query before each request shows that a
+// TestLoadQueriesKeepConnectionsAlive sends at-most-once requests with pauses
+// longer than the liveness window. The load query before each request shows that a
 // connection is alive, so few requests need a new connection.
-func TestQuestionsProveConnectionsAlive(t *testing.T) {
+func TestLoadQueriesKeepConnectionsAlive(t *testing.T) {
 	const (
 		calls          = 20
 		pause          = 120 * time.Millisecond
--- a/internal/request/gateway/whole_test.go
+++ b/internal/request/gateway/whole_test.go
@@ -22,10 +22,10 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/header"
 )
 
-// TestEachCallerGetsItsOwnAnswer sends requests with distinct bodies of distinct
+// TestResponsesAreNotMixed sends requests with distinct bodies of distinct
 // sizes over few connections, with delayed responses, canceled requests and
 // connection resets. No caller may get the response of another.
-func TestEachCallerGetsItsOwnAnswer(t *testing.T) {
+func TestResponsesAreNotMixed(t *testing.T) {
 	s := newCountingServer(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		time.Sleep(time.Duration(len(body)%7) * time.Millisecond)
@@ -61,10 +61,10 @@
 	wg.Wait()
 }
 
-// TestAnswerOfAnotherAttempt uses a server that answers each request with the
+// TestResponseOfAnotherAttempt uses a server that answers each request with the
 // response to the previous one, as on a connection whose responses are out of step.
 // The gateway must not relay it.
-func TestAnswerOfAnotherAttempt(t *testing.T) {
+func TestResponseOfAnotherAttempt(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestResumeChecksTheBody(t *testing.T) {
+func TestResumeRejectsDifferentBody(t *testing.T) {
 	convey.Convey("Given a second server with a different version of the body", t, func() {
 		version := func(etag string) *countingServer {
 			return newCountingServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -201,9 +201,9 @@
 	})
 }
 
-// TestCutOfAStreamIsVisible truncates responses that state no length. The caller
+// TestTruncatedStreamIsVisible truncates responses that state no length. The caller
 // must be able to detect it.
-func TestCutOfAStreamIsVisible(t *testing.T) {
+func TestTruncatedStreamIsVisible(t *testing.T) {
 	for name, head := range map[string]string{"chunked": "", "close-delimited": "HTTP/1.1 200 OK\r\n\r\n"} {
 		t.Run(name, func(t *testing.T) {
 			s := newCountingServer(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/request/slot/slot_test.go
+++ b/internal/request/slot/slot_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestEveryWaiterIsAnsweredByItsDeadline(t *testing.T) {
+func TestQueuedCallsExpireByDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := slot.New(slot.Config{MaxQueued: rapid.IntRange(0, 8).Draw(t, "MaxQueued")})
 		now, id := start, uint64(0)
--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -76,7 +76,7 @@
 	})
 }
 
-func TestRunPassesOverTargetsThatAreNotLive(t *testing.T) {
+func TestRunSkipsTargetsNotLive(t *testing.T) {
 	convey.Convey("Given two targets, one of which is not live", t, func() {
 		var live, dead requestLog
 		a, b := httptest.NewServer(&live), httptest.NewServer(&dead)
--- a/internal/standin/model/model_test.go
+++ b/internal/standin/model/model_test.go
@@ -86,7 +86,7 @@
 
 // In every pattern, the load balancer's policy reaches a minimum share of the score
 // that perfect information about the servers would give.
-func TestNearExactKnowledge(t *testing.T) {
+func TestScoreNearPerfectInformation(t *testing.T) {
 	const (
 		// minShare is that share with the usual limit on load queries.
 		minShare = 0.92
@@ -146,7 +146,7 @@
 
 // Servers that shed every request but reply to load queries with a low load must not
 // attract most of the requests.
-func TestSheddingServersLeaveTheChoice(t *testing.T) {
+func TestSheddingServersAreAvoided(t *testing.T) {
 	t.Parallel()
 	got := runMeans(t, "SheddingServers", "Survey")
 	if got.served < 0.9 {
@@ -155,7 +155,7 @@
 }
 
 // An exhausted budget of load queries must not lead to refused calls.
-func TestFewQuestionsServe(t *testing.T) {
+func TestExhaustedQueryBudgetRefusesNoCalls(t *testing.T) {
 	t.Parallel()
 	got := runMeans(t, "FewQuestions", "Survey")
 	if got.served < 0.9 {
--- a/internal/standin/soak/judge_test.go
+++ b/internal/standin/soak/judge_test.go
@@ -49,7 +49,7 @@
 	return slices.Compact(rules)
 }
 
-func TestJudge(t *testing.T) {
+func TestCheck(t *testing.T) {
 	limits := soak.Limits{Deadline: time.Second, Progress: time.Second, RetryShare: 0.5, Window: 10 * time.Second, Slack: 1}
 	once := []server.Execution{execution("r", "a", 10)}
 	twice := []server.Execution{execution("r", "a", 10), execution("r", "b", 20)}
--- a/internal/standin/trial/trial_test.go
+++ b/internal/standin/trial/trial_test.go
@@ -50,7 +50,7 @@
 	})
 }
 
-func TestSmall(t *testing.T) {
+func TestRunSmallSystem(t *testing.T) {
 	convey.Convey("Given a small system with a rule change and a graceful stop under load", t, func() {
 		report, err := trial.RunSmallSystem(context.Background(), trial.SmallSystemConfig{Duration: 2 * time.Second})
 		convey.So(err, convey.ShouldBeNil)
