--- a/internal/control/rule/split_test.go
+++ b/internal/control/rule/split_test.go
@@ -11,7 +11,7 @@
 	"mustardsaddle.example/mustardsaddle/internal/control/rule"
 )
 
-func TestFieldsOfLines(t *testing.T) {
+func TestFieldValidation(t *testing.T) {
 	for _, c := range []struct {
 		line string
 		want code.Code
@@ -58,10 +58,10 @@
 			convey.So(table.Service("A").Probe, convey.ShouldEqual, "/health")
 			convey.So(table.Service("A").Connections, convey.ShouldEqual, 220)
 			convey.So(table.Service("B"), convey.ShouldResemble, rule.Rule{Service: "B"})
-			convey.So(table.Idle(), convey.ShouldEqual, 15*time.Second)
+			convey.So(table.IdleTimeout(), convey.ShouldEqual, 15*time.Second)
 		})
 		convey.Convey("Requests are distributed by weight", func() {
-			split := table.Split(file.Rules()[2])
+			split := table.TrafficSplit(file.Rules()[2])
 			rng, picked := rand.New(rand.NewPCG(1, 2)), map[string]int{}
 			for range 4000 {
 				picked[split.Pick(rng)]++
--- a/internal/product/instance/directory.go
+++ b/internal/product/instance/directory.go
@@ -21,12 +21,12 @@
 		Servers: func(now time.Time, service string, servers []mustardsaddle.Server) {
 			in.gateway.SetServers(now, service, in.completeServers(service, servers))
 		},
-		Reader: in.isReader,
-		Spread: in.forwardUpdate,
-		Wait:   s.Platform.Watch,
-		Core:   catalog.CoreConfig{Return: s.Platform.Return},
-		Logger: in.cfg.Logger,
-		Seed:   seed,
+		Reader:  in.isReader,
+		Forward: in.forwardUpdate,
+		Wait:    s.Platform.Watch,
+		Core:    catalog.CoreConfig{RetainMissing: s.Platform.Return},
+		Logger:  in.cfg.Logger,
+		Seed:    seed,
 	})
 }
 
@@ -39,7 +39,7 @@
 // completeServers fills in the fields of servers that the directory leaves out, from
 // the settings of the service.
 func (in *instance) completeServers(service string, servers []mustardsaddle.Server) []mustardsaddle.Server {
-	return in.cfg.Settings.Service(service).Complete(servers)
+	return in.cfg.Settings.Service(service).WithDefaults(servers)
 }
 
 // newChooser returns a chooser with the configured policy, one for each service.
@@ -47,7 +47,7 @@
 	s := in.cfg.Settings
 	if s.Choice.Policy == settings.PolicySurvey {
 		return survey.New(survey.Config{
-			MaxOut:        noneIfZero(s.Choice.EjectShare),
+			MaxEjected:    noneIfZero(s.Choice.EjectShare),
 			ProbeInterval: interval(s.Measuring.ServerPerSecond),
 		})
 	}
--- a/internal/product/instance/instance.go
+++ b/internal/product/instance/instance.go
@@ -58,9 +58,9 @@
 	// Directory, if set, returns the directory that supplies the rules and the lists
 	// of VMs in place of the platform's store.
 	Directory func(*store.Client) mustardsaddle.Directory
-	// Started, if set, is called with the listen addresses once the servers and the
+	// OnStarted, if set, is called with the listen addresses once the servers and the
 	// control plane have started.
-	Started func(Addresses)
+	OnStarted func(Addresses)
 }
 
 // Addresses are the addresses that an instance listens on.
@@ -107,7 +107,7 @@
 	// mu guards relay and fleetGenerations.
 	mu               sync.Mutex
 	relay            *news.Relay
-	fleetGenerations *news.Told
+	fleetGenerations *news.GenerationTracker
 }
 
 // Run serves until the context ends, then shuts down gracefully. It returns an error
@@ -137,7 +137,7 @@
 		self:             mustardsaddle.VM{Name: s.Gateway.Name, Incarnation: incarnation, Zone: s.Gateway.Zone, Peer: peer},
 		metrics:          admin.NewMetrics(admin.MetricsConfig{}),
 		relay:            news.NewRelay(news.RelayConfig{}),
-		fleetGenerations: news.NewTold(),
+		fleetGenerations: news.NewGenerationTracker(),
 		rng:              rand.New(rand.NewPCG(seed, 1)),
 	}
 	in.current.Store(&s)
@@ -150,7 +150,7 @@
 	})
 	in.probeBudget = report.NewBudget(probeRates(s))
 	in.gateway = in.newGateway(seed)
-	in.prober = admission.NewProber(admission.ProberConfig{Lanes: in.gateway.Lanes(), Budget: in.probeBudget})
+	in.prober = admission.NewProber(admission.ProberConfig{Controllers: in.gateway.Controllers(), Budget: in.probeBudget})
 	in.membership = newMembership(in.rosterChanged)
 	in.links = in.newLinks(seed)
 	if cfg.Directory != nil {
@@ -166,31 +166,31 @@
 
 func (in *instance) newGateway(seed uint64) *gateway.Gateway {
 	s := in.cfg.Settings
-	services := make(map[string]gateway.Service)
+	services := make(map[string]gateway.ServiceConfig)
 	for _, v := range s.Services() {
-		services[v.Name] = gateway.Service{NotRunStatus: v.NotRunStatus, NotRunHeader: v.NotRunHeader}
+		services[v.Name] = gateway.ServiceConfig{NotRunStatus: v.NotRunStatus, NotRunHeader: v.NotRunHeader}
 	}
 	return gateway.New(gateway.Config{
-		Name:      s.Gateway.Name,
-		Deadline:  s.Limits.Deadline,
-		Progress:  s.Limits.Progress,
-		BodyBytes: s.Limits.BodyBytes,
-		Headers:   headerNames(s.Headers),
-		Services:  services,
+		Name:            s.Gateway.Name,
+		Deadline:        s.Limits.Deadline,
+		ProgressTimeout: s.Limits.Progress,
+		MaxBodyBytes:    s.Limits.BodyBytes,
+		Headers:         headerNames(s.Headers),
+		Services:        services,
 		Admission: admission.Options{
-			Zone:            s.Gateway.Zone,
-			MaxWaiting:      noneIfZero(s.Limits.QueueLength),
-			RetryShare:      noneIfZero(s.Retry.RetryShare),
-			RetryWindow:     s.Retry.Window,
-			RetrySlack:      s.Retry.Slack,
-			HedgeShare:      noneIfZero(s.Retry.HedgeShare),
-			HedgeQuantile:   s.Retry.HedgeQuantile,
-			Ask:             s.Choice.Ask,
-			ProbePath:       s.Measuring.Path,
-			ServerPerSecond: s.Measuring.ServerPerSecond,
-			Budget:          in.probeBudget,
-			NewChooser:      in.newChooser,
-			OnReport:        in.handleReport,
+			Zone:                 s.Gateway.Zone,
+			MaxQueued:            noneIfZero(s.Limits.QueueLength),
+			RetryShare:           noneIfZero(s.Retry.RetryShare),
+			RetryWindow:          s.Retry.Window,
+			RetrySlack:           s.Retry.Slack,
+			HedgeShare:           noneIfZero(s.Retry.HedgeShare),
+			HedgeQuantile:        s.Retry.HedgeQuantile,
+			MaxLoadQueries:       s.Choice.Ask,
+			ProbePath:            s.Measuring.Path,
+			LoadQueriesPerServer: s.Measuring.ServerPerSecond,
+			Budget:               in.probeBudget,
+			NewChooser:           in.newChooser,
+			OnReport:             in.handleReport,
 		},
 		Claims:  in.claims(),
 		Metrics: in.metrics.Scope(),
@@ -201,11 +201,11 @@
 
 // claims returns the claims in the platform's store. It returns nil with a directory,
 // which stores no claims, so that calls under rules with Repeat=Claim are refused.
-func (in *instance) claims() mustardsaddle.Claims {
+func (in *instance) claims() mustardsaddle.ClaimStore {
 	if in.cfg.Directory != nil {
 		return nil
 	}
-	return claim.New(claim.Config{Store: in.store.For(store.Claims)})
+	return claim.New(claim.Config{Store: in.store.WithUse(store.Claims)})
 }
 
 // noneIfZero maps the setting 0, which means none, to -1: in the options of the request
@@ -268,7 +268,7 @@
 func (in *instance) rosterChanged(now time.Time, old, r roster.Roster) {
 	for _, service := range r.Services() {
 		if !slices.Equal(old.Servers(service), r.Servers(service)) {
-			in.gateway.SetServers(now, service, in.cfg.Settings.Service(service).Complete(r.Servers(service)))
+			in.gateway.SetServers(now, service, in.cfg.Settings.Service(service).WithDefaults(r.Servers(service)))
 		}
 	}
 	if slices.Equal(old.VMs(), r.VMs()) {
@@ -285,9 +285,9 @@
 // of each gateway that has left, since a gateway that starts there may know no peers.
 func (in *instance) neighbors(r roster.Roster) []mustardsaddle.VM {
 	peers := in.cfg.Settings.Peers
-	vms := roster.Neighbors(r.Peers(), in.self.Name, roster.NeighborConfig{Across: peers.Across})
+	vms := roster.Neighbors(r.Peers(), in.self.Name, roster.NeighborConfig{CrossZoneLinks: peers.Across})
 	if in.catalog != nil {
-		vms = append(vms, roster.Returning(r.Peers(), in.self.Name)...)
+		vms = append(vms, roster.DepartedToDial(r.Peers(), in.self.Name)...)
 	}
 	if len(vms) > 0 {
 		return vms
--- a/internal/standin/trial/system.go
+++ b/internal/standin/trial/system.go
@@ -92,7 +92,7 @@
 		if err != nil {
 			return nil, errors.Join(err, e.close())
 		}
-		srv := &http.Server{Handler: server.Distant(e.server.Handler(), delay), ReadHeaderTimeout: headerTimeout}
+		srv := &http.Server{Handler: server.WithLatency(e.server.Handler(), delay), ReadHeaderTimeout: headerTimeout}
 		silent := server.NewSilentListener(l)
 		e.listeners = append(e.listeners, silent)
 		e.httpServers = append(e.httpServers, srv)
@@ -331,7 +331,7 @@
 func (sys *system) figures(cfg CompareConfig, r load.Result, cpu time.Duration, seconds float64) Figures {
 	var probeCost report.Cost
 	for _, g := range sys.gateways {
-		c := g.handler.probeBudget.Stats().Spent
+		c := g.handler.probeBudget.Stats().Used
 		probeCost.Messages += c.Messages
 		probeCost.Bytes += c.Bytes
 	}
