--- a/internal/control/registry/core.go
+++ b/internal/control/registry/core.go
@@ -96,8 +96,8 @@
 	return &Core{earlyChanges: make(map[int64]rule.Change)}
 }
 
-// Handled returns the last submission known to be handled.
-func (c *Core) Handled() int64 {
+// LastHandled returns the last submission known to be handled.
+func (c *Core) LastHandled() int64 {
 	return c.lastHandled
 }
 
--- a/internal/control/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -174,7 +174,7 @@
 // generation, 0 before there are any.
 func (g *Registry) Snapshot() (text string, generation int64) {
 	g.mu.Lock()
-	a := rule.Accepted{File: g.core.File(), Submission: g.core.Handled()}
+	a := rule.Accepted{File: g.core.File(), Submission: g.core.LastHandled()}
 	g.mu.Unlock()
 	return a.Format(), a.File.Generation
 }
--- a/internal/peer/news/relay_test.go
+++ b/internal/peer/news/relay_test.go
@@ -65,7 +65,7 @@
 	})
 }
 
-func TestTargets(t *testing.T) {
+func TestForwardTargets(t *testing.T) {
 	convey.Convey("Given a gateway with three links", t, func() {
 		relay := news.NewRelay(news.RelayConfig{})
 		links := []string{"a", "b", "c"}
--- a/internal/request/admission/lanes.go
+++ b/internal/request/admission/lanes.go
@@ -135,9 +135,9 @@
 	}
 }
 
-// SetRetry changes the bounds of retries and hedges in a window: the share earned by
+// SetRetryBudget changes the bounds of retries and hedges in a window: the share earned by
 // each call and the slack of the whole fleet.
-func (cs *Controllers) SetRetry(now time.Time, bounds booking.Bounds) {
+func (cs *Controllers) SetRetryBudget(now time.Time, bounds booking.Bounds) {
 	cs.retry.Store(&bounds)
 	for _, c := range cs.all() {
 		c.updateLimits(now)
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -215,7 +215,7 @@
 // SetRetryBudget changes the bounds of retries and hedges in a window: the share earned
 // by each call and the slack of the whole fleet.
 func (g *Gateway) SetRetryBudget(now time.Time, bounds booking.Bounds) {
-	g.controllers.SetRetry(now, bounds)
+	g.controllers.SetRetryBudget(now, bounds)
 }
 
 // Listener wraps the listener for callers, so that the error responses of net/http
