--- a/internal/choice/bench/bench.go
+++ b/internal/choice/bench/bench.go
@@ -114,8 +114,8 @@
 	// meanOtherLoad is the moving average, over all servers, of the load that other
 	// gateways put on a server.
 	meanOtherLoad float64
-	// mispredictionRate is the moving share of outcomes that contradicted the last
-	// report of their server.
+	// mispredictionRate is the moving average, from 0 to 1, of outcomes that
+	// contradicted the last report of their server.
 	mispredictionRate float64
 	// latencySum is the sum of the average latencies, in seconds, of the
 	// latencyCount servers for which one is known.
--- a/internal/choice/bench/bench_test.go
+++ b/internal/choice/bench/bench_test.go
@@ -96,7 +96,8 @@
 		sim.draining[name] = sim.rng.IntN(3) == 0
 		sim.chooser.Observe(sim.now, name, mustardsaddle.Report{InFlight: sim.rng.IntN(9), Draining: sim.draining[name], At: sim.now})
 	case 2:
-		// A server is removed and added again while attempts are in flight.
+		// The first server is removed and added again. The chooser keeps its state,
+		// such as draining, only if it has attempts in flight.
 		sim.chooser.SetServers(sim.now, sim.servers[1:])
 		sim.chooser.SetServers(sim.now, sim.servers)
 		if sim.inFlight[sim.servers[0].Name] == 0 {
@@ -327,6 +328,9 @@
 	})
 }
 
+// TestInaccurateReportsLoseWeight guards against a server that always reports that
+// it is idle and sheds its requests. Trusted, its reports would attract most of the
+// attempts.
 func TestInaccurateReportsLoseWeight(t *testing.T) {
 	convey.Convey("Given two servers, one of which always reports that it is idle and sheds", t, func() {
 		rng := rand.New(rand.NewPCG(1, 1))
@@ -351,6 +355,7 @@
 		first := chosen(10)
 		convey.So(first, convey.ShouldBeGreaterThan, 1)
 		_ = chosen(100)
+		// Its share of the attempts must fall below that of the first ten.
 		convey.So(chosen(100), convey.ShouldBeLessThan, 10*first)
 	})
 }
@@ -387,6 +392,7 @@
 			gateways := newGateways(fleet)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
+				// Two fleets alternate, because an unchanged fleet is ignored.
 				chooser.SetFleet(start, "gateway-0", gateways[i%2:])
 			}
 		})
--- a/internal/choice/bench/ejection.go
+++ b/internal/choice/bench/ejection.go
@@ -19,9 +19,10 @@
 	// ejectionResetAfter is the time in service after which earlier ejections no
 	// longer count towards the backoff.
 	ejectionResetAfter = time.Minute
-	// probeTimeout is how long an ended ejection waits for the report of a probe
-	// before the server is tried with calls, one at a time while it is cold. In a
-	// large fleet, the probe of one gateway may come later than that.
+	// probeTimeout is how long an ended ejection waits for the report of a probe.
+	// After that the server is readmitted without one and tried with calls, which
+	// slow start limits at first to one at a time if the server has few slots. In a
+	// large fleet, this gateway's next probe of the server may come later than that.
 	probeTimeout = 5 * time.Second
 )
 
@@ -33,7 +34,7 @@
 	until time.Time
 	// readmittedAt is when the last ejection ended.
 	readmittedAt time.Time
-	// count is the number of ejections that count towards the backoff.
+	// count is the number of earlier ejections that lengthen the next one.
 	count int
 }
 
--- a/internal/choice/bench/server.go
+++ b/internal/choice/bench/server.go
@@ -38,8 +38,8 @@
 	// loadWeight is what the load of a full server adds to its score. A server with
 	// less than this part of a slot free is not preferred.
 	loadWeight = 0.5
-	// minWarmUpWeight is the share of its full weight with which a cold server
-	// starts.
+	// minWarmUpWeight is the share of its full weight with which a server enters
+	// slow start.
 	minWarmUpWeight = 0.1
 )
 
@@ -56,13 +56,13 @@
 	otherLoad float64
 	// reportUses counts the choices since the last report.
 	reportUses int
-	// mispredictionRate is the moving share of outcomes that contradicted the last
-	// report.
+	// mispredictionRate is the moving average, from 0 to 1, of outcomes that
+	// contradicted the last report.
 	mispredictionRate float64
 
 	// latency is the moving average of the latency, in seconds; 0 if unknown.
 	latency float64
-	// errorRate is the moving share of failed attempts.
+	// errorRate is the moving average of failed attempts, from 0 to 1.
 	errorRate float64
 	// samples counts the attempts in the averages.
 	samples int
