--- a/internal/choice/survey/server.go
+++ b/internal/choice/survey/server.go
@@ -71,8 +71,9 @@
 	return s.slots() - s.load
 }
 
-// hasCapacity reports whether an attempt would start at once and finish in useful
-// time. The last slot of a server whose slowness is above slowLimit stays free.
+// hasCapacity reports whether an attempt would start at once and is likely to finish
+// before its caller's timeout. The last slot of a server whose slowness is above
+// slowLimit stays free.
 func (s *server) hasCapacity(slowLimit float64) bool {
 	if s.slowness() > slowLimit && s.slots() > 1 {
 		return s.freeSlots() > 1
--- a/internal/choice/survey/survey.go
+++ b/internal/choice/survey/survey.go
@@ -306,9 +306,8 @@
 	return choice, true
 }
 
-// lowestScore returns the eligible server with the lowest score for which accept
-// returns true.
-// Ties are broken uniformly at random.
+// lowestScore returns the server with the lowest score among the eligible ones for
+// which accept returns true. Ties are broken uniformly at random.
 func (c *Chooser) lowestScore(now time.Time, rng *rand.Rand, reqs mustardsaddle.Requirements, accept func(*server) bool) *server {
 	var best *server
 	lowest, ties := 0.0, 0
--- a/internal/choice/survey/survey_test.go
+++ b/internal/choice/survey/survey_test.go
@@ -397,8 +397,9 @@
 	}
 }
 
-// A server that is leaving only by its own reports gets no calls and so no queries
-// with them; only probes show that it is back.
+// TestProbesServersThatMayReturn covers servers that are leaving only by their own
+// reports. Calls neither choose nor query them, so without probes they would stay
+// out of use after they are back.
 func TestProbesServersThatMayReturn(t *testing.T) {
 	convey.Convey("Given two gateways and three leaving servers, two of which are leaving only by their reports", t, func() {
 		const interval = 500 * time.Millisecond
