--- a/internal/choice/report/budget.go
+++ b/internal/choice/report/budget.go
@@ -8,8 +8,8 @@
 	"golang.org/x/time/rate"
 )
 
-// ProbeBytes is the size that one probe is charged for: request and response with
-// headers.
+// ProbeBytes is the expected size of one probe: request and response with headers.
+// The byte bucket of a Budget is at least as deep.
 const ProbeBytes = 400
 
 // minMessageDepth is the minimum depth of the message bucket.
@@ -17,12 +17,14 @@
 
 // BudgetConfig configures a Budget. A rate of zero or less permits nothing.
 type BudgetConfig struct {
-	// MessagesPerSecond is the maximum rate of this gateway's probes.
+	// MessagesPerSecond is the maximum rate of this gateway's probes and load
+	// queries.
 	MessagesPerSecond float64
-	// BytesPerSecond is the maximum byte rate of this gateway's probes.
+	// BytesPerSecond is the maximum byte rate of this gateway's probes and load
+	// queries.
 	BytesPerSecond float64
-	// Burst is the time over which unused tokens accumulate. A bucket holds at
-	// least one message.
+	// Burst is the time over which unused tokens accumulate; 0 means 250 ms. A
+	// bucket holds at least one message.
 	Burst time.Duration
 }
 
@@ -34,9 +36,10 @@
 
 // Stats compares the usage of a Budget with its configured rates.
 type Stats struct {
-	// Used is the total cost of the permitted probes.
+	// Used is the total cost of the permitted probes and load queries.
 	Used Cost
-	// Refused is the number of probes that the budget did not permit.
+	// Refused is the number of probes and load queries that the budget did not
+	// permit.
 	Refused int64
 	// MessagesPerSecond is the configured message rate.
 	MessagesPerSecond float64
@@ -44,10 +47,11 @@
 	BytesPerSecond float64
 }
 
-// Budget limits the cost of this gateway's probes by two token buckets, one for
-// messages and one for bytes. It depends on time alone, never on the number of
-// calls that arrive. In any window of length w it permits at most rate × (w +
-// Burst) messages, or one. It is safe for concurrent use.
+// Budget limits the cost of this gateway's probes and load queries by two token
+// buckets, one for messages and one for bytes. It depends on time alone, never on
+// the number of calls that arrive. In any window of length w it permits at most
+// rate × w messages plus the depth of the bucket, which is rate × Burst but at least
+// one message. It is safe for concurrent use.
 //
 // The rate at which one server is probed is limited by package bench, which knows
 // the live gateways that share the server.
--- a/internal/choice/report/counts.go
+++ b/internal/choice/report/counts.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// minFields and maxFields bound the number of fields of a count report that are
-	// read.
+	// minFields is the number of fields that a report must have, and maxFields the
+	// number of fields that are read.
 	minFields = 3
 	maxFields = 4
 	// nominalPercent is the slowness, in percent, of a VM that runs at its usual
--- a/internal/choice/report/report.go
+++ b/internal/choice/report/report.go
@@ -1,10 +1,10 @@
 // Package report parses the load reports of endpoint servers and limits the cost of
-// probing them to a budget.
+// requesting them to a budget.
 //
 // A report is carried in the Endpoint-Load-Metrics response header, in the JSON
-// text form of the Open Request Cost Aggregation (ORCA) format, by ordinary
-// responses and by the responses of a small probe address. Ordinary responses cost
-// nothing extra; probes are charged to a Budget.
+// text form of the Open Request Cost Aggregation (ORCA) format. Ordinary responses
+// carry one at no extra cost. So do the small responses to probes and load queries,
+// which are charged to a Budget.
 //
 // # Usage
 //
