--- a/internal/request/admission/lane.go
+++ b/internal/request/admission/lane.go
@@ -402,8 +402,9 @@
 	return c.queue.RetryAfter()
 }
 
-// TakeRetry takes one retry from the budget for a request that is not an attempt of
-// a call, and reports whether the budget allowed it.
+// TakeRetry takes one retry from the budget for a request that booking.Call does not
+// count, such as one that resumes a download, and reports whether the budget allowed
+// it.
 func (c *Controller) TakeRetry(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
