--- a/internal/request/slot/slot_test.go
+++ b/internal/request/slot/slot_test.go
@@ -65,7 +65,7 @@
 				open++
 			}
 			if open > limit || l.InFlight("booking-01") != open {
-				t.Fatalf("got %d attempts in flight, want at most %d and %d counted", open, limit, l.InFlight("booking-01"))
+				t.Fatalf("got %d attempts acquired, want at most %d, and InFlight %d, want the same number", open, limit, l.InFlight("booking-01"))
 			}
 		}
 	})
