--- a/internal/request/booking/booking_test.go
+++ b/internal/request/booking/booking_test.go
@@ -95,7 +95,7 @@
 		}
 		allowed := burst + share*float64(calls) + 1e-6
 		if float64(extra[booking.Retry]) > allowed || float64(extra[booking.Hedge]) > allowed {
-			t.Fatalf("got %v extra attempts over %d calls, want at most %v of each", extra, calls, allowed)
+			t.Fatalf("got %v extra attempts over %d calls, want at most %v of each kind", extra, calls, allowed)
 		}
 	})
 }
