--- a/internal/request/gateway/answer.go
+++ b/internal/request/gateway/answer.go
@@ -62,7 +62,7 @@
 }
 
 // extendWriteDeadline restarts the write deadline of the caller's connection. The
-// error is ignored because it only reports a writer without deadlines.
+// error is ignored because it only means that the writer supports no deadlines.
 func (g *Gateway) extendWriteDeadline(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(g.cfg.ProgressTimeout))
 }
--- a/internal/request/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -173,7 +173,7 @@
 }
 
 // matchesRequest reports whether the response belongs to this attempt: it must not
-// echo a different id, and a successful response must have the signature header if
+// echo a different ID, and a successful response must have the signature header if
 // one is configured.
 func (a *attempt) matchesRequest() bool {
 	names, h := a.c.g.cfg.Headers, a.resp.Header
--- a/internal/request/gateway/body.go
+++ b/internal/request/gateway/body.go
@@ -84,7 +84,7 @@
 	closed  bool
 }
 
-// Read reads from the caller's body, with a limit on the time without progress.
+// Read reads from the caller's body. The progress timeout restarts with each read.
 func (r *bodyReader) Read(p []byte) (int, error) {
 	if !r.markConsumed() {
 		return 0, errBodyClosed
--- a/internal/request/gateway/call.go
+++ b/internal/request/gateway/call.go
@@ -223,7 +223,8 @@
 }
 
 // sendHedged sends an attempt, and a hedge beside it if the response is late. It
-// returns the attempt that was answered, or else one that was not.
+// returns the attempt that was answered. If neither was, it returns the first one,
+// or the hedge if the first one ended as NotRun.
 func (c *call) sendHedged(a *attempt) *attempt {
 	delay, ok := c.hedgeDelay()
 	if !ok {
@@ -330,8 +331,8 @@
 	}
 }
 
-// uploadProgress restarts the limit on the time without progress of the caller's
-// body. The deadline for the response header does not run during the upload.
+// uploadProgress restarts the progress timeout of the caller's body. The deadline
+// for the response header does not run during the upload.
 func (c *call) uploadProgress() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/request/gateway/claim.go
+++ b/internal/request/gateway/claim.go
@@ -41,7 +41,7 @@
 }
 
 // settleClaim records the outcome of a claimed request after the caller has its
-// response. If that fails, the stored outcome stays Unknown, which is never false.
+// response. If that fails, the stored outcome stays Unknown, which is never wrong.
 func (c *call) settleClaim() {
 	if c.claim == nil {
 		return
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -78,7 +78,7 @@
 
 // Config configures a Gateway. A limit of zero means the default.
 type Config struct {
-	// Name identifies this gateway in attempt ids and in Via.
+	// Name identifies this gateway in attempt IDs and in Via.
 	Name string
 	// Deadline is the timeout for the response header if the rule has none.
 	Deadline time.Duration
@@ -197,7 +197,8 @@
 	return g.rules.Load()
 }
 
-// Controllers returns the admission state of all services, as a prober needs it.
+// Controllers returns the admission controllers of all services, which a Prober
+// needs.
 func (g *Gateway) Controllers() *admission.Controllers {
 	return g.controllers
 }
@@ -264,7 +265,7 @@
 	c.serve()
 }
 
-// nextAttempt returns an attempt id that is unique across gateways and restarts.
+// nextAttempt returns an attempt ID that is unique across gateways and restarts.
 func (g *Gateway) nextAttempt() string {
 	return g.attemptPrefix + strconv.FormatUint(g.attemptSeq.Add(1), 36)
 }
--- a/internal/request/gateway/harness_test.go
+++ b/internal/request/gateway/harness_test.go
@@ -17,7 +17,7 @@
 	"mustardsaddle.example/mustardsaddle/internal/request/header"
 )
 
-// countingServer is an endpoint server that counts executions by attempt id and by
+// countingServer is an endpoint server that counts executions by attempt ID and by
 // the Test-Call header.
 type countingServer struct {
 	*httptest.Server
--- a/internal/request/gateway/log.go
+++ b/internal/request/gateway/log.go
@@ -10,7 +10,7 @@
 	"mustardsaddle.example/mustardsaddle/internal/base/event"
 )
 
-// requestID returns the caller's request id, or "" if there is none.
+// requestID returns the caller's request ID, or "" if there is none.
 func (g *Gateway) requestID(r *http.Request) string {
 	if g.cfg.Headers.RequestID == "" {
 		return ""
@@ -18,7 +18,7 @@
 	return r.Header.Get(g.cfg.Headers.RequestID)
 }
 
-// withRequestID adds the caller's request id, if there is one, to a log event.
+// withRequestID adds the caller's request ID, if there is one, to a log event.
 func (g *Gateway) withRequestID(line *zerolog.Event, r *http.Request) *zerolog.Event {
 	if id := g.requestID(r); id != "" {
 		line = line.Str("Request", id)
--- a/internal/request/gateway/once_test.go
+++ b/internal/request/gateway/once_test.go
@@ -21,6 +21,9 @@
 	Admission: admission.Options{RetryShare: 5, HedgeShare: 5, MinHedge: time.Millisecond},
 }
 
+// TestAtMostOnce sends requests that must run at most once over connections that
+// break, lose responses or go silent, while the gateway retries and hedges as often
+// as it may. A request that is sent again after a server received it would run twice.
 func TestAtMostOnce(t *testing.T) {
 	faults := map[string]func(p *faultProxy){
 		"reset at response start":       func(p *faultProxy) { p.setFault(fault{downBytes: 1}) },
--- a/internal/request/gateway/prober_test.go
+++ b/internal/request/gateway/prober_test.go
@@ -39,6 +39,7 @@
 		done := make(chan struct{})
 		go admission.NewProber(admission.ProberConfig{Controllers: g.Controllers(), Budget: budget, Interval: time.Millisecond}).Run(ctx, done)
 		convey.So((<-reports).Draining, convey.ShouldBeTrue)
+		// Waits until the budget has refused three probes.
 		for budget.left.Load() > -3 {
 			time.Sleep(time.Millisecond)
 		}
@@ -48,6 +49,8 @@
 	})
 }
 
+// TestProberSkipsSilentServer uses one server that never responds to a probe. The
+// probe waiting for it must not delay the probes of the other server.
 func TestProberSkipsSilentServer(t *testing.T) {
 	s := newCountingServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(report.Header, report.Format(1, 2, false))
--- a/internal/request/gateway/retry_test.go
+++ b/internal/request/gateway/retry_test.go
@@ -62,12 +62,13 @@
 		first <- resp.StatusCode
 	}()
 	<-arrived
-	second := time.AfterFunc(10*time.Second, func() { close(release) })
+	// Releases the server if the second call is not refused, so that the test ends.
+	failsafe := time.AfterFunc(10*time.Second, func() { close(release) })
 	resp, _, err := do(t, front, http.MethodGet, "/rosters", "")
 	if err != nil || resp.StatusCode != http.StatusTooManyRequests {
 		t.Errorf("second call: got %v %v, want 429 because of the limit of one connection", resp, err)
 	}
-	if second.Stop() {
+	if failsafe.Stop() {
 		close(release)
 	}
 	if status := <-first; status != http.StatusOK {
--- a/internal/request/gateway/whole_test.go
+++ b/internal/request/gateway/whole_test.go
@@ -147,6 +147,9 @@
 	return fmt.Sprintf("%x", h.Sum(nil)), n, heap, err
 }
 
+// TestDownloadAcrossKilledServers breaks the connections of a 200 MiB download after
+// 70 MiB each. With a strong ETag, the download must be resumed and complete. Without
+// one, the truncation must be visible. The body must not be buffered in memory.
 func TestDownloadAcrossKilledServers(t *testing.T) {
 	const size = 200 << 20
 	want := sha256.New()
@@ -240,7 +243,7 @@
 			front, _ := newGateway(t, gateway.Config{ProgressTimeout: 100 * time.Millisecond}, a.Addr().String(), b.Addr().String())
 			_, n, _, err := download(front)
 			if complete := err == nil && n == 4<<20; complete != (etag != "") || err == nil != complete {
-				t.Errorf("got %d bytes, %v", n, err)
+				t.Errorf("got %d bytes, %v, want a complete body with an ETag, and an error without one", n, err)
 			}
 		})
 	}
