--- a/internal/peer/link/link_test.go
+++ b/internal/peer/link/link_test.go
@@ -31,9 +31,9 @@
 // maxInboundLinks is how many inbound links a node accepts.
 const maxInboundLinks = 20
 
-// maxPropagationTime is the guaranteed time within which a change is in force on all
+// propagationLimit is the guaranteed time within which a change is in force on all
 // gateways.
-const maxPropagationTime = 5 * time.Second
+const propagationLimit = 5 * time.Second
 
 func fastTiming() link.Timing {
 	return link.Timing{Heartbeat: 100 * time.Millisecond, SilenceTimeout: 500 * time.Millisecond, MaxBackoff: 200 * time.Millisecond}
@@ -205,10 +205,10 @@
 		a, b, proxy := startPair(t, link.Timing{})
 		convey.So(proxy.Silence(), convey.ShouldEqual, 1)
 		a.publishChange()
-		convey.Convey("A change arrives over a new connection within the maximum propagation time", func() {
+		convey.Convey("A change arrives over a new connection within the propagation limit", func() {
 			took := waitFor(t, "the change to be in force", func() bool { return b.currentGeneration() == 1 })
 			t.Logf("in force after %v", took)
-			convey.So(took, convey.ShouldBeLessThan, maxPropagationTime)
+			convey.So(took, convey.ShouldBeLessThan, propagationLimit)
 			convey.So(a.links.Stats().TimedOut+b.links.Stats().TimedOut, convey.ShouldBeGreaterThanOrEqualTo, 1)
 		})
 	})
@@ -418,7 +418,7 @@
 		nodes, proxies := startMesh(t, 17, link.Timing{})
 		silent := slices.IndexFunc(proxies, func(proxy *relay.Relay) bool { return proxy.Silence() > 0 })
 		proxies[(silent+7)%len(proxies)].Reset()
-		convey.Convey("Changes from several gateways are in force on all within the maximum propagation time", func() {
+		convey.Convey("Changes from several gateways are in force on all within the propagation limit", func() {
 			for i := range 3 {
 				begin := time.Now()
 				nodes[5*i].publishChange()
@@ -427,7 +427,7 @@
 				}
 				took := time.Since(begin)
 				t.Logf("change %d in force on all after %v", i+1, took)
-				convey.So(took, convey.ShouldBeLessThan, maxPropagationTime)
+				convey.So(took, convey.ShouldBeLessThan, propagationLimit)
 			}
 		})
 	})
--- a/internal/peer/link/schedule.go
+++ b/internal/peer/link/schedule.go
@@ -50,10 +50,10 @@
 	return t
 }
 
-// isSilent reports whether a link whose last frame was received at last has timed
-// out.
-func (t Timing) isSilent(now, last time.Time) bool {
-	return now.Sub(last) >= t.SilenceTimeout
+// isSilent reports whether a link has timed out, given when its last frame was
+// received.
+func (t Timing) isSilent(now, lastReceived time.Time) bool {
+	return now.Sub(lastReceived) >= t.SilenceTimeout
 }
 
 // backoff returns the delay before the next dial after the given number of
@@ -137,11 +137,11 @@
 	return n
 }
 
-// withEnd returns the state after the link has ended. After a stable link, the
-// neighbor is redialed after a random delay below MinBackoff, from either end. After
-// any other link the backoff applies, so that a peer that closes the connection right
-// after the handshake is not dialed in a tight loop. The gateway that does not dial
-// first waits half a heartbeat longer.
+// withEnd returns the state after the link has ended. Both gateways schedule a
+// redial, and the one that does not dial first waits half a heartbeat longer. After a
+// stable link, the delay is random and below MinBackoff. After any other link the
+// backoff applies, so that a peer that closes the connection right after the handshake
+// is not dialed in a tight loop.
 func (n neighbor) withEnd(now time.Time, t Timing, rng *rand.Rand) neighbor {
 	n.failures++
 	if now.Sub(n.stateSince) >= stableLinkSilences*t.SilenceTimeout {
@@ -157,7 +157,7 @@
 }
 
 // isLost reports whether the neighbor is to be reported as lost: it has had no link
-// for as long as a silent link is kept open.
+// for Timing.SilenceTimeout, and this has not been reported yet.
 func (n neighbor) isLost(now time.Time, t Timing) bool {
 	return !n.linked && !n.lossReported && now.Sub(n.stateSince) >= t.SilenceTimeout
 }
