--- a/internal/peer/news/relay.go
+++ b/internal/peer/news/relay.go
@@ -24,10 +24,10 @@
 	MinMarksInterval time.Duration
 }
 
-// Relay decides which messages a gateway forwards and, by comparing summaries,
-// what two gateways lack of each other's state. It is a deterministic state
-// machine, and not safe for concurrent use. It holds a bounded number of rule
-// changes, and one entry per peer.
+// Relay decides which messages a gateway forwards and, by comparing the gateway's
+// summary with that of a peer, whether it requests rules from the peer or sends it
+// marks. It is a deterministic state machine, and not safe for concurrent use. It holds
+// a bounded number of rule changes, and one entry per peer.
 type Relay struct {
 	cfg RelayConfig
 	// seen holds the rule changes in the ring buffer recent.
--- a/internal/peer/news/relay_test.go
+++ b/internal/peer/news/relay_test.go
@@ -20,9 +20,9 @@
 	msg      news.RuleChange
 }
 
-// Rule changes that originate at any VM and are delivered in any order reach every
-// VM over the links that roster.Neighbors selects. Each change crosses a link at
-// most once in each direction.
+// Two rule changes that originate at one VM and are delivered in any order reach every
+// VM over the links that roster.Neighbors selects, although the later one can arrive
+// first. Each change crosses a link at most once in each direction.
 func TestFloodReachesEveryVM(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "VMs")
