--- a/internal/product/admin/admin_test.go
+++ b/internal/product/admin/admin_test.go
@@ -32,7 +32,7 @@
 	})
 }
 
-func get(h http.Handler, method, path string) *httptest.ResponseRecorder {
+func request(h http.Handler, method, path string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest(method, path, nil))
 	return w
@@ -43,31 +43,31 @@
 		s := &state{ready: code.Errorf(code.CallNotReady, "no rules yet")}
 		h := handler(s)
 		convey.Convey("It is healthy but not ready, and reports the reason", func() {
-			convey.So(get(h, http.MethodGet, "/healthz").Code, convey.ShouldEqual, http.StatusOK)
-			w := get(h, http.MethodGet, "/readyz")
+			convey.So(request(h, http.MethodGet, "/healthz").Code, convey.ShouldEqual, http.StatusOK)
+			w := request(h, http.MethodGet, "/readyz")
 			convey.So(w.Code, convey.ShouldEqual, http.StatusServiceUnavailable)
 			convey.So(w.Header().Get(header.Code), convey.ShouldEqual, "4006")
 			convey.So(w.Body.String(), convey.ShouldEqual, "Code=4006 Name=CallNotReady Reason=\"no rules yet (code 4006)\"\n")
 		})
 		convey.Convey("The rules page responds with status 503", func() {
-			w := get(h, http.MethodGet, "/rules")
+			w := request(h, http.MethodGet, "/rules")
 			convey.So(w.Code, convey.ShouldEqual, http.StatusServiceUnavailable)
 			convey.So(w.Header().Get(header.Code), convey.ShouldEqual, "4006")
 		})
 		convey.Convey("Once rules are in force, it is ready and shows them", func() {
 			s.ready, s.rules = nil, admin.Rules{Generation: 41, Text: "# Generation 41\n"}
-			convey.So(get(h, http.MethodGet, "/readyz").Code, convey.ShouldEqual, http.StatusOK)
-			w := get(h, http.MethodGet, "/rules")
+			convey.So(request(h, http.MethodGet, "/readyz").Code, convey.ShouldEqual, http.StatusOK)
+			w := request(h, http.MethodGet, "/rules")
 			convey.So(w.Code, convey.ShouldEqual, http.StatusOK)
 			convey.So(w.Header().Get(admin.GenerationHeader), convey.ShouldEqual, "41")
 			convey.So(w.Body.String(), convey.ShouldEqual, "# Generation 41\n")
 		})
 		convey.Convey("Pages are read-only, and other paths are not found", func() {
-			w := get(h, http.MethodPut, "/rules")
+			w := request(h, http.MethodPut, "/rules")
 			convey.So(w.Code, convey.ShouldEqual, http.StatusMethodNotAllowed)
 			convey.So(w.Header().Get("Allow"), convey.ShouldEqual, "GET, HEAD")
-			convey.So(get(h, http.MethodGet, "/secrets").Code, convey.ShouldEqual, http.StatusNotFound)
-			convey.So(get(h, http.MethodGet, "/").Body.String(), convey.ShouldContainSubstring, "/metrics")
+			convey.So(request(h, http.MethodGet, "/secrets").Code, convey.ShouldEqual, http.StatusNotFound)
+			convey.So(request(h, http.MethodGet, "/").Body.String(), convey.ShouldContainSubstring, "/metrics")
 		})
 	})
 }
@@ -77,7 +77,7 @@
 		s := &state{}
 		h := handler(s)
 		convey.Convey("Without servers the list is empty", func() {
-			convey.So(get(h, http.MethodGet, "/servers").Body.String(), convey.ShouldEqual, "[]\n")
+			convey.So(request(h, http.MethodGet, "/servers").Body.String(), convey.ShouldEqual, "[]\n")
 		})
 		convey.Convey("Each known server is listed with all fields", func() {
 			s.servers = []admin.Server{
@@ -88,7 +88,7 @@
 				{Server: mustardsaddle.Server{Name: "booking-02", Service: "Booking"}},
 			}
 			var servers []admin.Server
-			body := get(h, http.MethodGet, "/servers").Body.Bytes()
+			body := request(h, http.MethodGet, "/servers").Body.Bytes()
 			convey.So(json.Unmarshal(body, &servers), convey.ShouldBeNil)
 			convey.So(servers, convey.ShouldResemble, s.servers)
 		})
@@ -103,8 +103,8 @@
 		b.Scope().Gauge("Ready").Update(1)
 		convey.So(a.Close(), convey.ShouldBeNil)
 		convey.So(b.Close(), convey.ShouldBeNil)
-		pageA := get(a.Handler(), http.MethodGet, "/metrics").Body.String()
-		pageB := get(b.Handler(), http.MethodGet, "/metrics").Body.String()
+		pageA := request(a.Handler(), http.MethodGet, "/metrics").Body.String()
+		pageB := request(b.Handler(), http.MethodGet, "/metrics").Body.String()
 		convey.Convey("Each page shows only its own metrics, in the Prometheus format", func() {
 			convey.So(pageA, convey.ShouldContainSubstring, "# TYPE Mustardsaddle_Calls counter\nMustardsaddle_Calls{Server=\"booking-01\"} 3\n")
 			convey.So(pageA, convey.ShouldNotContainSubstring, "Mustardsaddle_Ready")
@@ -136,7 +136,7 @@
 		<-done
 		convey.So(m.Close(), convey.ShouldBeNil)
 		convey.Convey("The page shows the last state, and counts each total only once", func() {
-			page := get(m.Handler(), http.MethodGet, "/metrics").Body.String()
+			page := request(m.Handler(), http.MethodGet, "/metrics").Body.String()
 			for _, line := range []string{"Ready 0", "Generation 42", "Probes 25", "ProbesAgreed 20"} {
 				convey.So(page, convey.ShouldContainSubstring, "\nMustardsaddle_"+line+"\n")
 			}
