--- a/internal/product/command/command_test.go
+++ b/internal/product/command/command_test.go
@@ -41,12 +41,12 @@
 }
 
 // run runs a command line in which DIR stands for the directory. The gateway that serve
-// starts logs one line and returns the error serve.
-func run(dir, line string, serve error) (status command.Status, stdout, stderr string) {
+// starts logs one line and returns serveErr.
+func run(dir, line string, serveErr error) (status command.Status, stdout, stderr string) {
 	var out, err bytes.Buffer
 	cfg := command.Config{Out: &out, Err: &err, Serve: func(_ context.Context, g command.GatewayConfig) error {
 		event.Info(g.Logger, event.Started).Str("Zone", g.Settings.Gateway.Zone).Send()
-		return serve
+		return serveErr
 	}}
 	status = command.Run(context.Background(), cfg, strings.Fields(strings.ReplaceAll(line, "DIR", dir)))
 	return status, out.String(), err.String()
--- a/internal/product/command/reload.go
+++ b/internal/product/command/reload.go
@@ -25,7 +25,8 @@
 	lastStamp fileStamp
 }
 
-// fileStamp is the size and modification time of a file, which identify its content.
+// fileStamp is the size and modification time of a file. A change of either shows that
+// the file may have new content.
 type fileStamp struct {
 	size     int64
 	modified time.Time
