--- a/internal/product/instance/call_test.go
+++ b/internal/product/instance/call_test.go
@@ -198,7 +198,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil || resp.StatusCode != http.StatusOK || string(body) != completeBody {
-		return fmt.Errorf("got status %d, body %.60q, error %w, want 200 and a complete response", resp.StatusCode, body, err)
+		return fmt.Errorf("got status %d, body %.60q, error %v, want 200 and a complete response", resp.StatusCode, body, err)
 	}
 	return nil
 }
--- a/internal/product/instance/change_test.go
+++ b/internal/product/instance/change_test.go
@@ -84,7 +84,7 @@
 }
 
 // Gateways without links, whose watches report no changes, still start from the store,
-// put a change in force within inForceLimit, and stop sending requests to a leaving
+// put a change in force within propagationLimit, and stop sending requests to a leaving
 // server.
 func TestNoLinksAndSilentWatches(t *testing.T) {
 	s := newCluster(t, 2)
--- a/internal/product/instance/harness_test.go
+++ b/internal/product/instance/harness_test.go
@@ -43,7 +43,7 @@
 	unlisted bool
 }
 
-// runningGateway is a running gateway.
+// runningGateway is a gateway that runs in a goroutine of the test process.
 type runningGateway struct {
 	name      string
 	addresses instance.Addresses
@@ -169,10 +169,11 @@
 	return s.gateways
 }
 
-// expectInForce checks that a rule is in force on every gateway within inForceLimit.
+// expectInForce checks that a rule is in force on every gateway within
+// propagationLimit.
 func (s *cluster) expectInForce(line string) {
 	s.t.Helper()
-	took := eventually(s.t, 2*inForceLimit, "in force: "+line, func() bool {
+	took := eventually(s.t, 2*propagationLimit, "in force: "+line, func() bool {
 		for _, g := range s.gateways {
 			if !g.inForce(s.t, line) {
 				return false
@@ -180,8 +181,8 @@
 		}
 		return true
 	})
-	if took > inForceLimit {
-		s.t.Errorf("rule %q took %s to be in force, want at most %s", line, took, inForceLimit)
+	if took > propagationLimit {
+		s.t.Errorf("rule %q took %s to be in force, want at most %s", line, took, propagationLimit)
 	}
 }
 
--- a/internal/product/instance/listing.go
+++ b/internal/product/instance/listing.go
@@ -128,7 +128,7 @@
 // closes done.
 func (in *instance) syncGateways(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
-	var silent map[string]bool
+	var gone map[string]bool
 	reads := 0
 	for pause := time.Duration(0); store.Sleep(ctx, pause); {
 		// Only the first reads must be exact: later, links announce new gateways.
@@ -149,28 +149,29 @@
 			reads = max(reads, 2)
 			in.gatewaysKnown.Store(true)
 			pause = gatewayReadInterval/2 + rand.N(gatewayReadInterval)
-			silent = in.removeStaleEntries(ctx, u.Machines, silent)
+			gone = in.removeStaleEntries(ctx, u.Machines, gone)
 		}
 	}
 }
 
-// removeStaleEntries returns the names of the listed gateways that are silent or
-// leaving. If this gateway ranks first, it removes the entries of those that were so
-// at the previous read, too. A gateway that is alive after all registers itself again.
-func (in *instance) removeStaleEntries(ctx context.Context, listed []mustardsaddle.Machine, silentBefore map[string]bool) map[string]bool {
+// removeStaleEntries returns the names of the listed gateways that are gone: those that
+// are leaving, or are unreachable from this gateway. If this gateway ranks first, it
+// removes the entries of those that were also gone at the previous read. A gateway that
+// is alive after all registers itself again.
+func (in *instance) removeStaleEntries(ctx context.Context, listed []mustardsaddle.Machine, goneBefore map[string]bool) map[string]bool {
 	vms := in.membership.Roster().VMs()
 	responsible := roster.Rank(vms, in.self.Name, mustardsaddle.GatewaysCollection.String()) == 0
 	leaving := make(map[string]bool)
 	for _, vm := range vms {
 		leaving[vm.Name] = vm.Leaving
 	}
-	silent := make(map[string]bool)
+	gone := make(map[string]bool)
 	for _, m := range listed {
 		if !leaving[m.Name] {
 			continue
 		}
-		silent[m.Name] = true
-		if !responsible || !silentBefore[m.Name] {
+		gone[m.Name] = true
+		if !responsible || !goneBefore[m.Name] {
 			continue
 		}
 		event.Info(in.cfg.Logger, event.EntryRemoved).Str("VM", m.Name).Str("Address", m.Address).Send()
@@ -178,7 +179,7 @@
 			in.logStoreFailure(ctx, err)
 		}
 	}
-	return silent
+	return gone
 }
 
 // isListed reports whether the directory has an entry with this gateway's name, zone
--- a/internal/product/instance/membership.go
+++ b/internal/product/instance/membership.go
@@ -111,7 +111,8 @@
 	m.update(now, func(r roster.Roster) roster.Roster { return r.WithVM(vm) })
 }
 
-// markUnreachable records that a gateway VM has had no link for the silence limit.
+// markUnreachable records that a gateway VM has had no link for
+// link.Timing.SilenceTimeout.
 func (m *membership) markUnreachable(now time.Time, name string) {
 	m.update(now, func(r roster.Roster) roster.Roster { return r.WithUnreachable(name) })
 }
--- a/internal/product/instance/outage_test.go
+++ b/internal/product/instance/outage_test.go
@@ -12,13 +12,13 @@
 	"mustardsaddle.example/mustardsaddle/internal/standin/platform"
 )
 
-// inForceLimit is the specified time limit within which an accepted change of the rules
-// must be in force on every gateway.
-const inForceLimit = 5 * time.Second
+// propagationLimit is the specified time limit within which an accepted change of the
+// rules must be in force on every gateway.
+const propagationLimit = 5 * time.Second
 
 // An outage of the platform does not affect callers. A gateway that starts during it
 // gets rules and servers from a peer. A change that is submitted after the outage is in
-// force on every gateway within inForceLimit.
+// force on every gateway within propagationLimit.
 func TestStoreOutage(t *testing.T) {
 	s := newCluster(t, 2)
 	s.submit(initialRules)
@@ -39,16 +39,17 @@
 	s.platform.SetFault(platform.Fault{})
 	const line = "Path=/calendars Service=Booking # Mei Lin: members browse calendars"
 	s.submit("# Generation 1\n" + initialRules + line + "\n")
-	took := eventually(t, 2*inForceLimit, "change after the outage in force", func() bool {
+	took := eventually(t, 2*propagationLimit, "change after the outage in force", func() bool {
 		return a.inForce(t, line) && b.inForce(t, line) && c.inForce(t, line)
 	})
-	if took > inForceLimit {
-		t.Errorf("change after the outage took %s to be in force, want at most %s", took, inForceLimit)
+	if took > propagationLimit {
+		t.Errorf("change after the outage took %s to be in force, want at most %s", took, propagationLimit)
 	}
 }
 
 // A server that joins receives calls. A server that is removed from the list receives
-// none after leavingLimit, although only some gateways read its page often.
+// none after leavingLimit. A gateway without peers learns of both only from the server's
+// page of the list; in a larger fleet, only some gateways read the page often.
 func TestServersJoinAndLeave(t *testing.T) {
 	s := newCluster(t, 1)
 	s.submit(initialRules)
@@ -72,7 +73,7 @@
 }
 
 // A slow store delays no call, does not prevent a gateway from starting, and delays a
-// change of the rules for at most inForceLimit.
+// change of the rules for at most propagationLimit.
 func TestStoreSlow(t *testing.T) {
 	s := newCluster(t, 2)
 	s.startReady("gateway-1", "gateway-2")
--- a/internal/product/instance/serve.go
+++ b/internal/product/instance/serve.go
@@ -200,8 +200,8 @@
 	return servers
 }
 
-// graceMarginDivisor determines the part of the platform's grace period, one divided by
-// graceMarginDivisor, that is reserved for ending the process after its last call.
+// graceMarginDivisor sets how much of the platform's grace period is reserved for ending
+// the process after its last call: the period divided by graceMarginDivisor.
 const graceMarginDivisor = 12
 
 // stop shuts down gracefully and returns how many calls in flight it aborted. Calls are
