--- a/cmd/mustardsaddle/soak_caller_test.go
+++ b/cmd/mustardsaddle/soak_caller_test.go
@@ -24,13 +24,13 @@
 	callerInterval = 5 * time.Millisecond
 	// downloadBytes is the size of the response to a download.
 	downloadBytes = 300_000
-	// longWorkShare of the calls state an exponentially distributed working time
-	// with mean longWork. About 2% of these exceed soakDeadline, and more at
-	// slow servers.
+	// longWorkShare is the share of calls that state a working time, which is
+	// exponentially distributed with mean longWork. About 2% of these exceed
+	// soakDeadline, and more at slow servers.
 	longWorkShare = 0.03
 	longWork      = 500 * time.Millisecond
-	// abandonShare of the calls are abandoned by their callers after a random
-	// time of at most maxAbandonTimeout.
+	// abandonShare is the share of calls that their callers abandon after a
+	// random time of at most maxAbandonTimeout.
 	abandonShare      = 0.03
 	maxAbandonTimeout = 300 * time.Millisecond
 	// maxClaimSends is the maximum number of times that a claimed request is
--- a/cmd/mustardsaddle/soak_fault_test.go
+++ b/cmd/mustardsaddle/soak_fault_test.go
@@ -19,9 +19,9 @@
 // reset connections any more.
 const resetSettleTime = 500 * time.Millisecond
 
-// acceptMargin is the time before a stopping gateway closes its listener in
-// which a new connection may no longer be accepted in time. Calls on open
-// connections are still served.
+// acceptMargin is the last part of the time for which a stopping gateway keeps its
+// listener open. A connection that is opened in this part may come too late to be
+// accepted. Calls on open connections are still served.
 const acceptMargin = 250 * time.Millisecond
 
 // submitRetryInterval is the pause between two attempts of an operator to
