--- a/internal/standin/server/noise.go
+++ b/internal/standin/server/noise.go
@@ -6,10 +6,10 @@
 )
 
 // Neighbour describes a noisy neighbour: another tenant of the server's host.
-// While it is busy, the server's working times are multiplied. The zero value
+// While it is busy, the server's service times are multiplied. The zero value
 // is never busy.
 type Neighbour struct {
-	// Factor multiplies working times while the neighbour is busy.
+	// Factor multiplies service times while the neighbour is busy.
 	Factor float64
 	// Busy is the mean length of a busy period.
 	Busy time.Duration
@@ -30,7 +30,7 @@
 	return neighbourState{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 2))}
 }
 
-// factor returns the multiplier of working times at the given time. Successive
+// factor returns the multiplier of service times at the given time. Successive
 // calls must not go back in time.
 func (n *neighbourState) factor(now time.Time) float64 {
 	if n.cfg.Factor <= 0 {
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -34,7 +34,7 @@
 	RequestHeader = "Request-ID"
 )
 
-// coldStartFactor multiplies working times during a cold start.
+// coldStartFactor multiplies service times during a cold start.
 const coldStartFactor = 3
 
 // Config configures a Server.
@@ -46,15 +46,15 @@
 	// Queue is the maximum number of requests that wait for a slot; more are
 	// shed.
 	Queue int
-	// Work is the mean working time of a request. A request overrides it with
+	// Work is the mean service time of a request. A request overrides it with
 	// the Work query parameter.
 	Work time.Duration
-	// ColdStart is the length of the cold start, during which working times are
+	// ColdStart is the length of the cold start, during which service times are
 	// longer.
 	ColdStart time.Duration
 	// Neighbour is a noisy neighbour on the same host.
 	Neighbour Neighbour
-	// Seed seeds the random working times and the busy periods of the neighbour.
+	// Seed seeds the random service times and the busy periods of the neighbour.
 	Seed uint64
 	// Record, if not nil, receives an Execution as a line of JSON before each
 	// execution begins, so that executions are known even if the process is
@@ -67,7 +67,7 @@
 	// Draining makes the server refuse new requests and report that it is
 	// draining.
 	Draining bool
-	// Factor multiplies working times; 0 means 1.
+	// Factor multiplies service times; 0 means 1.
 	Factor float64
 	// FailFast makes the server respond to requests with 500 without doing any
 	// work.
@@ -283,8 +283,8 @@
 	return s.mode.FailFast, nil
 }
 
-// simulateWork sleeps for the working time, and returns false if the request
-// was canceled.
+// simulateWork sleeps for the service time. It returns false if the request is
+// canceled first.
 func (s *Server) simulateWork(r *http.Request) bool {
 	timer := time.NewTimer(s.workDuration(time.Now(), r.URL.Query().Get("Work")))
 	defer timer.Stop()
@@ -296,8 +296,9 @@
 	}
 }
 
-// workDuration returns the working time of a request that begins now. The Work
-// parameter of the request, if valid, replaces a random time.
+// workDuration returns the service time of a request that begins now: the Work
+// parameter of the request if it is valid, or else a random time, multiplied by
+// the factors that slow the server down.
 func (s *Server) workDuration(now time.Time, stated string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/server/server_test.go
+++ b/internal/standin/server/server_test.go
@@ -25,7 +25,7 @@
 	convey.Convey("Given a server with one slot and no queue", t, func() {
 		s := server.New(server.Config{Name: "booking-01", Slots: 1, Work: time.Hour})
 		h := s.Handler()
-		convey.Convey("the Work parameter overrides the working time", func() {
+		convey.Convey("the Work parameter overrides the service time", func() {
 			w := get(h, "/Booking?Work=1ms")
 			convey.So(w.Code, convey.ShouldEqual, http.StatusOK)
 			convey.So(s.Count().Total, convey.ShouldEqual, 1)
@@ -61,6 +61,8 @@
 	})
 }
 
+// A silenced connection must get no response although it stays open, and a new connection
+// must work.
 func TestSilentListener(t *testing.T) {
 	convey.Convey("Given a listener whose open connections are silenced", t, func() {
 		tcp, err := net.Listen("tcp", "127.0.0.1:0")
