--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -4,7 +4,7 @@
 // Arrivals are a Poisson process drawn from a seed. The latency of a call
 // counts from its scheduled time, so that a stall of the system is charged to
 // the calls that had to wait (no coordinated omission). Each call also states
-// its working time, drawn from the same seed, so that runs with equal seeds
+// its service time, drawn from the same seed, so that runs with equal seeds
 // generate equal work.
 //
 // # Usage
@@ -80,17 +80,17 @@
 	Warmup time.Duration
 	// Duration is the total time during which calls arrive, including Warmup.
 	Duration time.Duration
-	// Work is the mean working time that calls state: one half fixed, the other
+	// Work is the mean service time that calls state: one half fixed, the other
 	// exponentially distributed. If it is 0, calls state none.
 	Work time.Duration
 	// Delay is the simulated one-way latency between callers and gateways.
 	Delay time.Duration
-	// Timeout bounds each call, from its scheduled time.
+	// Timeout bounds each call, from its scheduled time; 0 means 5 s.
 	Timeout time.Duration
 	// InFlight is the maximum number of calls in flight; more are counted as
-	// Dropped.
+	// Dropped. 0 means 4000.
 	InFlight int
-	// Seed seeds the arrivals, streams, targets and working times.
+	// Seed seeds the arrivals, streams, targets and service times.
 	Seed uint64
 }
 
@@ -121,7 +121,9 @@
 }
 
 // Run generates the calls and waits until all have ended. It takes at most
-// Duration plus Timeout and Delay.
+// Duration plus Timeout and Delay. If the context ends early, Run starts no more
+// calls, cancels those in flight, which then count as Broken, and returns the
+// result without an error. Rates still refer to the whole Duration.
 func Run(ctx context.Context, cfg Config) (Result, error) {
 	cfg = cfg.withDefaults()
 	if err := cfg.check(); err != nil {
@@ -167,7 +169,7 @@
 	// stream is the index of the call's stream.
 	stream int
 	target string
-	// work is the working time that the call states.
+	// work is the service time that the call states.
 	work time.Duration
 	// intendedAt is the scheduled time of the call.
 	intendedAt time.Time
@@ -200,6 +202,7 @@
 }
 
 // rate returns the call rate, in calls per second, at a time since the start.
+// Factors below 0.001 count as 0.001, so that the time to the next call is finite.
 func (d *driver) rate(at time.Duration) float64 {
 	factor := 1.0
 	for _, p := range d.cfg.Phases {
@@ -210,7 +213,7 @@
 	return d.cfg.Rate * max(factor, 0.001)
 }
 
-// drawCall draws the stream, target and working time of a call.
+// drawCall draws the stream, target and service time of a call.
 func (d *driver) drawCall(rng *rand.Rand, start time.Time, at time.Duration) call {
 	half := float64(d.cfg.Work) / 2
 	return call{
--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -76,6 +76,8 @@
 	})
 }
 
+// A target that accepts no calls, such as a gateway that is stopping, must get none: its calls
+// go to another target and are not counted as failures.
 func TestRunSkipsTargetsNotLive(t *testing.T) {
 	convey.Convey("Given two targets, one of which is not live", t, func() {
 		var live, dead requestLog
--- a/internal/standin/load/result.go
+++ b/internal/standin/load/result.go
@@ -44,7 +44,7 @@
 type Stats struct {
 	// Service names the stream.
 	Service string
-	// Calls is the number of calls, and Ends the number by End.
+	// Calls is the number of calls, and Ends the number by the name of the End.
 	Calls int64
 	Ends  map[string]int64
 	// Goodput is the number of calls per second that ended as Ran.
