--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -6,8 +6,8 @@
 //
 //	r, err := relay.New(ctx, "127.0.0.1:7000")
 //	// Callers dial r.Address() instead of the target.
-//	r.Set(relay.Fault{HoldDown: true}) // responses are held; requests still arrive
-//	r.Set(relay.Fault{})               // held data is delivered
+//	r.SetFault(relay.Fault{HoldDown: true}) // responses are held; requests still arrive
+//	r.SetFault(relay.Fault{})               // held data is delivered
 //	r.Close()
 package relay
 
