--- a/internal/standin/model/gateway.go
+++ b/internal/standin/model/gateway.go
@@ -186,7 +186,7 @@
 	}
 }
 
-// choose chooses a server that has not been tried. unqueried is true if the query budget
+// choose chooses a server that has not been tried. unqueried states that the query budget
 // allowed no load query for this attempt.
 func (g *gateway) choose(tried []string, unqueried bool) (mustardsaddle.Choice, bool) {
 	if g.sim.cfg.Policy.PerfectInformation {
@@ -248,8 +248,8 @@
 		return
 	}
 	g.sim.loop.scheduleAfter(survey.QueryWait, finish)
-	for _, known := range servers {
-		g.queryServer(querier, g.sim.byName[known.Name], func() {
+	for _, target := range servers {
+		g.queryServer(querier, g.sim.byName[target.Name], func() {
 			pending--
 			if pending == 0 {
 				finish()
@@ -258,8 +258,9 @@
 	}
 }
 
-// queryServer queries the load of one server and calls done with its reply. An
-// unresponsive server does not reply, and the query times out.
+// queryServer queries the load of one server, passes its reply to the chooser, and then
+// calls done. An unresponsive server does not reply: the query times out, and done is not
+// called.
 func (g *gateway) queryServer(querier mustardsaddle.LoadQuerier, s *server, done func()) {
 	delay := g.delay(s)
 	g.sim.loop.scheduleAfter(delay, func() {
@@ -278,9 +279,9 @@
 }
 
 // send sends an attempt to a server.
-func (c *call) send(known mustardsaddle.Server) {
+func (c *call) send(chosen mustardsaddle.Server) {
 	g := c.gateway
-	s := g.sim.byName[known.Name]
+	s := g.sim.byName[chosen.Name]
 	delay, sent := g.delay(s), g.sim.loop.now
 	c.tried = append(slices.Clip(c.tried), s.name)
 	g.sim.result.Attempts++
--- a/internal/standin/model/model_test.go
+++ b/internal/standin/model/model_test.go
@@ -53,6 +53,8 @@
 	return items[i]
 }
 
+// Policies can be compared only if equal seeds give equal runs. A run that read the clock or
+// depended on the order of a map would differ from the next one.
 func TestEqualSeedsGiveEqualResults(t *testing.T) {
 	cfg := model.Config{Pattern: patternByName(t, "Surge"), Policy: policyByName(t, "Survey"), Seed: 7}
 	if a, b := model.Run(cfg), model.Run(cfg); !reflect.DeepEqual(a, b) {
@@ -60,6 +62,9 @@
 	}
 }
 
+// A call can time out while it is queued, or while a load query or an attempt is
+// outstanding. Its request must still end exactly once: a late reply must not end it again,
+// and a request must not be lost.
 func TestEveryRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := rapid.SampledFrom(model.Patterns()).Draw(t, "Pattern")
