--- a/internal/standin/experiment/experiment.go
+++ b/internal/standin/experiment/experiment.go
@@ -23,7 +23,7 @@
 	Patterns []model.Pattern
 	Policies []model.Policy
 	// FirstSeed is the seed of the first run of each combination, and Seeds the number
-	// of runs, with consecutive seeds.
+	// of runs, with consecutive seeds; it must be at least 1.
 	FirstSeed uint64
 	Seeds     int
 	// Parallel is the number of concurrent runs; 0 means half of the processors.
