--- a/internal/standin/soak/judge.go
+++ b/internal/standin/soak/judge.go
@@ -189,7 +189,7 @@
 }
 
 // checkRetries checks the budget of retries and hedges in each window that ends
-// with an extra attempt.
+// with an extra attempt. It reports only the first window that exceeds it.
 func (chk *checker) checkRetries() {
 	extra := extraAttempts(chk.history.Executions)
 	calls := make([]time.Time, 0, len(chk.history.Calls))
--- a/internal/standin/soak/judge_test.go
+++ b/internal/standin/soak/judge_test.go
@@ -49,6 +49,8 @@
 	return slices.Compact(rules)
 }
 
+// Each row is a history and the rules that Check must find violated in it. A missed violation
+// would hide a fault of the gateways, and a false one would fail a soak test without a fault.
 func TestCheck(t *testing.T) {
 	limits := soak.Limits{Deadline: time.Second, Progress: time.Second, RetryShare: 0.5, Window: 10 * time.Second, Slack: 1}
 	once := []server.Execution{execution("r", "a", 10)}
--- a/internal/standin/soak/plan.go
+++ b/internal/standin/soak/plan.go
@@ -45,7 +45,7 @@
 	ServerKilled
 	// ServerFrozen suspends a server process.
 	ServerFrozen
-	// ServerSlow multiplies the working times of a server.
+	// ServerSlow multiplies the service times of a server.
 	ServerSlow
 	// ServerFailing makes a server respond with 500 without doing any work.
 	ServerFailing
--- a/internal/standin/soak/plan_test.go
+++ b/internal/standin/soak/plan_test.go
@@ -9,6 +9,8 @@
 	"mustardsaddle.example/mustardsaddle/internal/standin/soak"
 )
 
+// A failed soak test can be repeated only if its seed gives the same plan, and it covers only
+// the faults that plans contain.
 func TestPlan(t *testing.T) {
 	convey.Convey("Given plans from many seeds", t, func() {
 		cfg := soak.Config{Length: 10 * time.Second, Gateways: 3, Servers: 5}
