--- a/internal/standin/trial/front.go
+++ b/internal/standin/trial/front.go
@@ -39,8 +39,8 @@
 	seed      uint64
 }
 
-// gatewayHandler is the HTTP handler of a gateway that chooses servers with the policy
-// of a candidate, together with the prober that measures the load of servers.
+// gatewayHandler holds a gateway that chooses servers with the policy of a candidate, and
+// the prober that measures the load of servers for it.
 type gatewayHandler struct {
 	cfg         handlerConfig
 	gateway     *gateway.Gateway
@@ -49,7 +49,7 @@
 	proberDone  chan struct{}
 }
 
-// newGatewayHandler returns a gateway with routing rules, but without servers, and
+// newGatewayHandler returns a gatewayHandler with routing rules, but without servers, and
 // starts its prober.
 func newGatewayHandler(ctx context.Context, cfg handlerConfig) (*gatewayHandler, error) {
 	rules, err := newRules(cfg.services)
--- a/internal/standin/trial/member.go
+++ b/internal/standin/trial/member.go
@@ -21,7 +21,8 @@
 const (
 	smallGateways = 3
 	smallServers  = 6
-	smallWork     = 20 * time.Millisecond
+	// smallWork is the mean service time of a call.
+	smallWork = 20 * time.Millisecond
 	// smallLag is the delay until a change shows in the platform's list of VMs.
 	smallLag = 500 * time.Millisecond
 	// startTimeout limits the time for all gateways to start, and stopTimeout that for
--- a/internal/standin/trial/report.go
+++ b/internal/standin/trial/report.go
@@ -55,7 +55,8 @@
 
 // Report is the result of a comparison.
 type Report struct {
-	// Network, Work, Duration, Seed and Parallel are those of the CompareConfig.
+	// Network, Work, Duration, Seed and Parallel are those of the CompareConfig, with
+	// its defaults.
 	Network  string
 	Work     time.Duration
 	Duration time.Duration
--- a/internal/standin/trial/scenario.go
+++ b/internal/standin/trial/scenario.go
@@ -88,14 +88,15 @@
 	}
 }
 
-// misreport makes n servers report that they are idle, and n others that they are full.
+// misreport makes n servers report that they are idle, and n others that they are
+// overloaded, regardless of their load.
 func misreport(n int) func(*system) {
 	return func(sys *system) {
-		idle, full := 0, 8
+		idle, overloaded := 0, 8
 		for i, e := range sys.firstEndpoints(2 * n) {
 			inFlight := &idle
 			if i%2 == 1 {
-				inFlight = &full
+				inFlight = &overloaded
 			}
 			e.server.SetMode(server.Mode{ReportInFlight: inFlight})
 		}
@@ -130,7 +131,8 @@
 	}
 }
 
-// restart restarts n servers, as new incarnations that begin with a cold period.
+// restart simulates the restart of n servers: they become new incarnations that begin with
+// a cold start, but their running requests continue.
 func restart(n int, coldStart time.Duration) func(*system) {
 	return func(sys *system) {
 		for _, e := range sys.firstEndpoints(n) {
--- a/internal/standin/trial/system.go
+++ b/internal/standin/trial/system.go
@@ -35,8 +35,8 @@
 	slotsPerServer = 2
 	crossZoneDelay = 500 * time.Microsecond
 	headerTimeout  = 5 * time.Second
-	// maxInFlight limits the calls in flight. Each one may hold both ends of a
-	// connection, since callers, gateways and servers share this process.
+	// maxInFlight limits the calls in flight, and so the open sockets: each call may hold
+	// both ends of its connections, since callers, gateways and servers share this process.
 	maxInFlight = 1000
 )
 
@@ -130,7 +130,7 @@
 	return errors.Join(errs...)
 }
 
-// gatewayServer is an HTTP server that runs a gatewayHandler.
+// gatewayServer is an HTTP server that serves the gateway of a gatewayHandler.
 type gatewayServer struct {
 	zone       int
 	handler    *gatewayHandler
--- a/internal/standin/trial/trial_test.go
+++ b/internal/standin/trial/trial_test.go
@@ -50,6 +50,8 @@
 	})
 }
 
+// A graceful stop must cut no call, no attempt may run twice, and a rule change must reach
+// every gateway soon.
 func TestRunSmallSystem(t *testing.T) {
 	convey.Convey("Given a small system with a rule change and a graceful stop under load", t, func() {
 		report, err := trial.RunSmallSystem(context.Background(), trial.SmallSystemConfig{Duration: 2 * time.Second})
