--- a/internal/standin/command/command_test.go
+++ b/internal/standin/command/command_test.go
@@ -16,6 +16,9 @@
 	"mustardsaddle.example/mustardsaddle/internal/standin/command"
 )
 
+// An invalid command line must be reported with the exit status Usage and a message that
+// names the mistake, and a failure while running with the status Failed. The rows with the
+// status Done check what valid command lines print.
 func TestMistakes(t *testing.T) {
 	cases := []struct {
 		args   string
--- a/internal/standin/command/model.go
+++ b/internal/standin/command/model.go
@@ -47,7 +47,7 @@
 		return c.list()
 	}
 	if c.Seeds < 1 || c.Parallel < 0 {
-		return command.StatusErrorf(command.Usage, "got --seeds %d --parallel %d, want at least 1 and 0", c.Seeds, c.Parallel)
+		return command.StatusErrorf(command.Usage, "got --seeds %d --parallel %d, want at least 1 seed and --parallel of 0 or more", c.Seeds, c.Parallel)
 	}
 	cfg, err := c.config()
 	if err != nil {
--- a/internal/standin/command/trial.go
+++ b/internal/standin/command/trial.go
@@ -81,7 +81,7 @@
 }
 
 // compare runs the scenarios with the candidates, and prints the report even if it is
-// partial.
+// partial, but not if no run succeeded.
 func (c *trialCommand) compare() error {
 	cfg, err := c.config()
 	if err != nil {
