--- a/internal/control/catalog/catalog_test.go
+++ b/internal/control/catalog/catalog_test.go
@@ -58,9 +58,9 @@
 	return &mustardsaddle.RulesText{Generation: generation, Text: "Path=/rosters Service=Booking # Mei Lin: rosters"}
 }
 
-// TestHistoryLostAfterOutage guards against a catalog that does not recover when a
-// watch times out during a directory outage and the directory has discarded its
-// history afterwards.
+// TestHistoryLostAfterOutage guards against a catalog that never reads a snapshot
+// again, if its watch times out in a directory outage and the directory has discarded
+// its history when it responds again.
 func TestHistoryLostAfterOutage(t *testing.T) {
 	d := &fakeDirectory{snapshot: mustardsaddle.Update{Whole: true, Revision: 5, Rules: rules(1)}}
 	d.failures = []error{
@@ -223,6 +223,9 @@
 	})
 }
 
+// TestServersAfterOutage guards against dropping servers whose entries expired during
+// a directory outage only because they could not be renewed, and against retaining
+// servers that were removed while the directory responded.
 func TestServersAfterOutage(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	at := start.Add
--- a/internal/control/catalog/core.go
+++ b/internal/control/catalog/core.go
@@ -125,6 +125,7 @@
 	if !known || !e.expiresAt.IsZero() {
 		return
 	}
+	// Without a recent outage this time has passed, so that the entry is removed at once.
 	e.expiresAt = c.recoveredAt.Add(c.cfg.RetainMissing)
 	c.entries[name] = e
 }
