--- a/internal/control/registry/core.go
+++ b/internal/control/registry/core.go
@@ -112,8 +112,8 @@
 	return c.syncedVersion
 }
 
-// Accepted returns the newest accepted state, and whether the copy of the store is
-// valid and as new as the file in force.
+// Accepted returns the accepted state as last read, and whether the next write may be
+// based on it: it must still be valid and at least as new as the file in force.
 func (c *Core) Accepted() (rule.Accepted, bool) {
 	return c.stored, c.storedValid && c.stored.File.Generation >= c.inForce.Generation
 }
--- a/internal/control/registry/core_test.go
+++ b/internal/control/registry/core_test.go
@@ -270,7 +270,8 @@
 
 // TestAcceptanceModel checks acceptance with concurrent operators and with gateways
 // that pause, restart, lose responses, have writes applied late, and receive changes
-// from peers late, repeatedly or never.
+// from peers late, repeatedly or never. Every submission must be handled exactly once
+// and in order, and no gateway may revert to a lower generation.
 func TestAcceptanceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
--- a/internal/control/registry/peer.go
+++ b/internal/control/registry/peer.go
@@ -21,6 +21,8 @@
 	for result == rule.Applied {
 		c.recordHandled(change.Submission)
 		applied = append(applied, change)
+		// Without a buffered change, next is the zero Change, which is stale and ends the
+		// loop.
 		next := c.earlyChanges[change.To]
 		c.setInForce(f)
 		change = next
--- a/internal/control/registry/registry_test.go
+++ b/internal/control/registry/registry_test.go
@@ -223,7 +223,8 @@
 	for _, test := range []struct {
 		name    string
 		options fleetOptions
-		after   platform.Fault
+		// fault begins when the first rules are in force.
+		fault platform.Fault
 	}{
 		{"with watches and links", fleetOptions{size: 17, watchers: 6}, platform.Fault{}},
 		{"one watch stalled and one member isolated", fleetOptions{size: 17, watchers: 2, stalled: only(0), isolated: only(9)}, platform.Fault{}},
@@ -235,7 +236,7 @@
 			g := startFleet(t, test.options)
 			g.submit(ruleLine(1))
 			await(waitLimit, g.inForceEverywhere(1))
-			g.platform.SetFault(test.after)
+			g.platform.SetFault(test.fault)
 			g.submit(ruleLine(2))
 			took := await(waitLimit, g.inForceEverywhere(2))
 			t.Logf("%s: in force everywhere after %s", test.name, took)
