--- a/internal/control/roster/page.go
+++ b/internal/control/roster/page.go
@@ -94,6 +94,7 @@
 	for _, m := range machines {
 		e, known := r.entries[m.Name]
 		if !known {
+			// The newest page lacks the VM, so it counts as removed since then.
 			r.entries[m.Name] = entry{Machine: m, listed: true, missingSince: newest, removed: true}
 			continue
 		}
--- a/internal/control/roster/seed_test.go
+++ b/internal/control/roster/seed_test.go
@@ -2,6 +2,6 @@
 
 import "flag"
 
-// Fixes the seed, so that every run checks the same cases. A -rapid.seed flag on the
-// command line is parsed later and takes precedence.
+// init fixes the seed of rapid, so that every run draws the same cases and gives the
+// same result. A -rapid.seed flag is parsed later and overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
