--- a/internal/control/rule/merge.go
+++ b/internal/control/rule/merge.go
@@ -21,6 +21,8 @@
 	x := index{file: f, keys: make([]key, len(f.lines)), positions: make(map[key]int, len(f.lines))}
 	occurrences := make(map[string]int)
 	for i, l := range f.lines {
+		// The prefix keeps the key of an empty line different from that of the rule that
+		// declares the idle timeout, whose ID is empty.
 		k := key{text: "#" + l.text, occurrence: occurrences[l.text]}
 		if l.rule != nil {
 			k = key{id: l.rule.ID()}
--- a/internal/control/rule/table_test.go
+++ b/internal/control/rule/table_test.go
@@ -100,6 +100,9 @@
 	return len(want) == len(got)
 }
 
+// TestMatchProperty compares Match with a separate implementation of the matching, and
+// checks that the result depends neither on the order of the lines nor on the table
+// that was recompiled.
 func TestMatchProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		file := genFile(t, 1)
