--- a/internal/control/store/client.go
+++ b/internal/control/store/client.go
@@ -99,7 +99,7 @@
 
 var _ mustardsaddle.Store = (*Client)(nil)
 
-// New returns a Client for the rules. It opens no connection.
+// New returns a Client whose calls have the use Rules. It opens no connection.
 func New(cfg Config) *Client {
 	cfg = cfg.withDefaults()
 	return &Client{
--- a/internal/control/store/client_test.go
+++ b/internal/control/store/client_test.go
@@ -18,8 +18,8 @@
 	"mustardsaddle.example/mustardsaddle/internal/standin/platform"
 )
 
-// newTestClient returns a platform and a client for it whose rate limit is too high for
-// tests to reach.
+// newTestClient returns a platform and a client for it, which as the only gateway has
+// the rate limit of the whole fleet.
 func newTestClient(t *testing.T, timeout time.Duration) (*platform.Platform, *store.Client) {
 	p := platform.New(platform.Config{})
 	server := httptest.NewServer(p.Handler())
@@ -104,6 +104,9 @@
 // connectionID is the context key of a connection's number.
 type connectionID struct{}
 
+// TestClientDropsUnresponsiveConnections guards against one timeout for each pooled
+// connection after a network failure, if every call reuses another connection that no
+// longer responds.
 func TestClientDropsUnresponsiveConnections(t *testing.T) {
 	convey.Convey("Given pooled connections that no longer respond, while new ones do", t, func() {
 		const parallel = 5
@@ -174,6 +177,8 @@
 			_, _ = c.Get(context.Background(), "k")
 		}
 		elapsed := time.Since(started).Seconds()
+		// The burst is at most 20 calls. Of 400 reads per second, 0.4 are the share of one
+		// gateway.
 		convey.So(float64(p.Calls()), convey.ShouldBeLessThanOrEqualTo, 20+0.4*elapsed+1)
 		convey.So(c.Stats().OverBudget, convey.ShouldEqual, 1000-p.Calls())
 	})
--- a/internal/control/store/seed_test.go
+++ b/internal/control/store/seed_test.go
@@ -2,6 +2,6 @@
 
 import "flag"
 
-// A fixed seed makes property tests generate the same cases in every run. A -rapid.seed
-// flag on the command line is parsed later and overrides it.
+// init fixes the seed of rapid, so that every run draws the same cases and gives the
+// same result. A -rapid.seed flag is parsed later and overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
