--- a/internal/base/event/list.go
+++ b/internal/base/event/list.go
@@ -85,8 +85,8 @@
 	LinkFailed
 	// PeerMessageRefused is logged when a message from a peer is rejected.
 	PeerMessageRefused
-	// PeerMessageUnknown is logged when a message has an unknown type, as of a later
-	// version.
+	// PeerMessageUnknown is logged when a message has an unknown type, which a later
+	// version may have added.
 	PeerMessageUnknown
 	// PeerNewsDropped is logged when updates are dropped because a link is too slow.
 	PeerNewsDropped
