--- a/internal/base/settings/layout.go
+++ b/internal/base/settings/layout.go
@@ -70,9 +70,9 @@
 func (l *layout) keepSection(n int, line string) bool {
 	name, rest, closed := strings.Cut(line[1:], "]")
 	rest = strings.TrimSpace(rest)
-	comment := rest == "" || (rest[0] == '#' || rest[0] == ';') && !strings.Contains(rest, "]")
+	onlyComment := rest == "" || (rest[0] == '#' || rest[0] == ';') && !strings.Contains(rest, "]")
 	l.section, l.skipping = name, true
-	if !closed || name == "" || !comment {
+	if !closed || name == "" || !onlyComment {
 		l.addProblem(code.SettingsSyntax, n, "", line, "a section such as [Gateway]")
 		return false
 	}
