--- a/directory.go
+++ b/directory.go
@@ -21,9 +21,8 @@
 
 // Directory is a platform service that validates routing rules itself and lists the
 // current VMs. Gateways that use a Store have to agree on the accepted rules among
-// themselves; a Directory returns rules that are already accepted. Every method
-// returns an error whose code.Of gives the result code; none waits longer than its
-// context.
+// themselves; a Directory returns rules that are already accepted. Every returned error
+// has a result code, which code.Of gives. No method waits longer than its context.
 type Directory interface {
 	// Snapshot reads a whole collection as of the time of the call. If exact is
 	// false the read costs less and may return a state that is some seconds old.
--- a/faults_test.go
+++ b/faults_test.go
@@ -76,6 +76,9 @@
 	return names
 }
 
+// TestFaultMatrixIsComplete guards against faults and steps of a call that
+// docs/FAULTS.md leaves out, and against references there to tests that do not exist,
+// for example after a test was renamed.
 func TestFaultMatrixIsComplete(t *testing.T) {
 	raw, err := os.ReadFile("docs/FAULTS.md")
 	if err != nil {
--- a/known_red_test.go
+++ b/known_red_test.go
@@ -52,6 +52,8 @@
 	return found
 }
 
+// TestKnownRed guards against entries of KNOWN-RED.txt that have another form than
+// CONTRIBUTING.md states or that name a test that does not exist.
 func TestKnownRed(t *testing.T) {
 	text, err := os.ReadFile("KNOWN-RED.txt")
 	if os.IsNotExist(err) {
--- a/server.go
+++ b/server.go
@@ -80,8 +80,8 @@
 	Name string
 	// Incarnation is the incarnation of the VM that the mark refers to.
 	Incarnation int64
-	// Seq grows only when a gateway that marked the VM as leaving has direct
-	// evidence, newer than the mark, that the VM serves again.
+	// Seq grows only when a gateway has direct evidence, newer than a leaving mark,
+	// that the VM serves again.
 	Seq int64
 	// Leaving is true while the VM accepts no new requests.
 	Leaving bool
--- a/store.go
+++ b/store.go
@@ -16,8 +16,8 @@
 	Value []byte
 }
 
-// Store is the platform's object store. Every method returns an error whose code.Of
-// gives the result code; none waits longer than its context.
+// Store is the platform's object store. Every returned error has a result code, which
+// code.Of gives. No method waits longer than its context.
 type Store interface {
 	// Get reads the newest version. A missing object has version 0.
 	Get(ctx context.Context, key string) (Object, error)
