--- a/cmd/mustardsaddle/soak_caller_test.go
+++ b/cmd/mustardsaddle/soak_caller_test.go
@@ -24,7 +24,7 @@
 	callerInterval = 5 * time.Millisecond
 	// downloadBytes is the size of the response to a download.
 	downloadBytes = 300_000
-	// longWorkShare is the share of calls that state a working time, which is
+	// longWorkShare is the share of calls that state a service time, which is
 	// exponentially distributed with mean longWork. About 2% of these exceed
 	// soakDeadline, and more at slow servers.
 	longWorkShare = 0.03
@@ -91,7 +91,7 @@
 
 // callPlan holds the parameters of a call.
 type callPlan struct {
-	// work is the working time that the call states; empty for the default of
+	// work is the service time that the call states; empty for the default of
 	// the server.
 	work string
 	// timeout is how long the caller waits for the response.
--- a/cmd/mustardsaddle/soak_test.go
+++ b/cmd/mustardsaddle/soak_test.go
@@ -44,7 +44,7 @@
 	soakAddedDelay = 200 * time.Millisecond
 	// soakStoreRate is the rate limit of a limited store, in calls per second.
 	soakStoreRate = 5
-	// soakSlowFactor multiplies the working times of a slow server.
+	// soakSlowFactor multiplies the service times of a slow server.
 	soakSlowFactor = 10
 	// randomSeedRange is the upper bound of random seeds.
 	randomSeedRange = 1_000_000_000
