--- a/internal/request/gateway/call.go
+++ b/internal/request/gateway/call.go
@@ -103,11 +103,11 @@
 		return
 	}
 	if c.match.repeat == mustardsaddle.RepeatClaim {
-		if refused := c.takeClaim(); refused != nil {
+		if refused := c.acquireClaim(); refused != nil {
 			c.refuse(refused)
 			return
 		}
-		defer c.settleClaim()
+		defer c.recordClaimOutcome()
 	}
 	a, refused := c.runAttempts()
 	if refused != nil {
--- a/internal/request/gateway/claim.go
+++ b/internal/request/gateway/claim.go
@@ -16,10 +16,10 @@
 // settleTimeout bounds the time to record the outcome of a claimed request.
 const settleTimeout = 2 * time.Second
 
-// takeClaim claims the request's idempotency key, or returns why the request must
-// not be sent. It is the only store operation that a call waits for before its
-// response.
-func (c *call) takeClaim() *refusal.Refusal {
+// acquireClaim claims the request's idempotency key, or returns why the request
+// must not be sent. It is the only store operation that a call waits for before
+// its response.
+func (c *call) acquireClaim() *refusal.Refusal {
 	key := c.r.Header.Get(IdempotencyKeyHeader)
 	if key == "" {
 		return refusal.NotRun(code.CallBadRequest)
@@ -40,9 +40,10 @@
 	return nil
 }
 
-// settleClaim records the outcome of a claimed request after the caller has its
-// response. If that fails, the stored outcome stays Unknown, which is never wrong.
-func (c *call) settleClaim() {
+// recordClaimOutcome records the outcome of a claimed request after the caller
+// has its response. If that fails, the stored outcome stays Unknown, which is
+// never wrong.
+func (c *call) recordClaimOutcome() {
 	if c.claim == nil {
 		return
 	}
--- a/internal/standin/server/noise.go
+++ b/internal/standin/server/noise.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// Neighbour describes a noisy neighbour: another tenant of the server's host.
-// While it is busy, the server's service times are multiplied. The zero value
-// is never busy.
-type Neighbour struct {
-	// Factor multiplies service times while the neighbour is busy.
+// NoisyNeighbor describes another tenant of the server's host. While it is busy,
+// the server's service times are multiplied. The zero value is never busy.
+type NoisyNeighbor struct {
+	// Factor multiplies service times while the neighbor is busy.
 	Factor float64
 	// Busy is the mean length of a busy period.
 	Busy time.Duration
@@ -17,22 +16,22 @@
 	Idle time.Duration
 }
 
-// neighbourState alternates between busy and idle periods of random length.
-type neighbourState struct {
-	cfg  Neighbour
+// neighborState alternates between busy and idle periods of random length.
+type neighborState struct {
+	cfg  NoisyNeighbor
 	rng  *rand.Rand
 	busy bool
 	// switchAt is when the current period ends; zero before the first use.
 	switchAt time.Time
 }
 
-func newNeighbourState(cfg Neighbour, seed uint64) neighbourState {
-	return neighbourState{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 2))}
+func newNeighborState(cfg NoisyNeighbor, seed uint64) neighborState {
+	return neighborState{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 2))}
 }
 
 // factor returns the multiplier of service times at the given time. Successive
 // calls must not go back in time.
-func (n *neighbourState) factor(now time.Time) float64 {
+func (n *neighborState) factor(now time.Time) float64 {
 	if n.cfg.Factor <= 0 {
 		return 1
 	}
@@ -54,6 +53,6 @@
 }
 
 // drawPeriod draws the length of a period, at least a millisecond.
-func (n *neighbourState) drawPeriod(mean time.Duration) time.Duration {
+func (n *neighborState) drawPeriod(mean time.Duration) time.Duration {
 	return time.Millisecond + time.Duration(n.rng.ExpFloat64()*float64(mean))
 }
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -52,9 +52,10 @@
 	// ColdStart is the length of the cold start, during which service times are
 	// longer.
 	ColdStart time.Duration
-	// Neighbour is a noisy neighbour on the same host.
-	Neighbour Neighbour
-	// Seed seeds the random service times and the busy periods of the neighbour.
+	// NoisyNeighbor is another tenant of the same host.
+	NoisyNeighbor NoisyNeighbor
+	// Seed seeds the random service times and the busy periods of the noisy
+	// neighbor.
 	Seed uint64
 	// Record, if not nil, receives an Execution as a line of JSON before each
 	// execution begins, so that executions are known even if the process is
@@ -87,7 +88,7 @@
 
 	mu        sync.Mutex
 	startedAt time.Time
-	neighbour neighbourState
+	neighbor  neighborState
 	// reportedLoad is the load read last, at reportedAt.
 	reportedLoad int
 	reportedAt   time.Time
@@ -107,7 +108,7 @@
 		slots:     make(chan struct{}, cfg.Slots),
 		startedAt: time.Now(),
 		rng:       rand.New(rand.NewPCG(cfg.Seed, 1)),
-		neighbour: newNeighbourState(cfg.Neighbour, cfg.Seed),
+		neighbor:  newNeighborState(cfg.NoisyNeighbor, cfg.Seed),
 		runs:      make(map[string]int),
 	}
 }
@@ -306,7 +307,7 @@
 	if err != nil {
 		d = time.Duration(s.rng.ExpFloat64() * float64(s.cfg.Work))
 	}
-	factor := s.neighbour.factor(now)
+	factor := s.neighbor.factor(now)
 	if s.mode.Factor > 0 {
 		factor *= s.mode.Factor
 	}
--- a/internal/standin/trial/scenario.go
+++ b/internal/standin/trial/scenario.go
@@ -14,8 +14,8 @@
 	utilization float64
 	// loadChanges change the offered load during the run, in order of time.
 	loadChanges []loadChange
-	// neighbour is the noisy neighbor of every server; the zero value is none.
-	neighbour server.Neighbour
+	// neighbor is the noisy neighbor of every server; the zero value is none.
+	neighbor server.NoisyNeighbor
 	// faults are the faults to inject, in order of time.
 	faults []fault
 }
@@ -42,7 +42,7 @@
 		{name: "Steady95", utilization: 0.95},
 		{name: "Surge", utilization: 0.60, loadChanges: []loadChange{{0.4, 2.5}, {0.6, 1}}},
 		{name: "Stragglers", utilization: 0.60, faults: []fault{{0.2, slowDown(3, 5)}}},
-		{name: "Shifting", utilization: 0.60, neighbour: server.Neighbour{Factor: 4, Busy: 30 * time.Millisecond, Idle: 200 * time.Millisecond}},
+		{name: "Shifting", utilization: 0.60, neighbor: server.NoisyNeighbor{Factor: 4, Busy: 30 * time.Millisecond, Idle: 200 * time.Millisecond}},
 		{name: "StaleReports", utilization: 0.80, faults: []fault{{0, setReportInterval(500 * time.Millisecond)}}},
 		{name: "LyingReports", utilization: 0.80, faults: []fault{{0, misreport(3)}}},
 		{name: "FailFast", utilization: 0.60, faults: []fault{{0.3, failFast(2, true)}, {0.8, failFast(2, false)}}},
--- a/internal/standin/trial/system.go
+++ b/internal/standin/trial/system.go
@@ -184,7 +184,7 @@
 		for i := range svc.servers {
 			e, err := newEndpoint(ctx, server.Config{
 				Name: fmt.Sprintf("%s-%02d", svc.name, i), Slots: slotsPerServer, Queue: cfg.Queue, Work: cfg.Work,
-				Neighbour: plan.scenario.neighbour, Seed: cfg.Seed + uint64(len(sys.endpoints)),
+				NoisyNeighbor: plan.scenario.neighbor, Seed: cfg.Seed + uint64(len(sys.endpoints)),
 			}, svc, i%zones)
 			if err != nil {
 				return nil, errors.Join(err, sys.close())
